--- a/core/src/main/java/org/acaciacourse/core/route/RouteTable.java
+++ b/core/src/main/java/org/acaciacourse/core/route/RouteTable.java
@@ -28,9 +28,9 @@
 
 	private final Map<String, KeyOwner> owners = new HashMap<>();
 
-	private final boolean keyed;
+	private final boolean hasCustomers;
 
-	private final UrgencyScale urgency;
+	private final UrgencyScale urgencyScale;
 
 	RouteTable(long number, CallerLimits limits, List<Route> routes, List<Pool> pools, List<KeyOwner> owners) {
 		this.number = number;
@@ -39,9 +39,9 @@
 			.put(route.pathPrefix(), route));
 		pools.forEach((pool) -> this.pools.put(pool.name(), pool));
 		// A customer without any key is one that lost them all, not one that needs none.
-		this.keyed = !owners.isEmpty();
+		this.hasCustomers = !owners.isEmpty();
 		owners.forEach((owner) -> owner.keys().forEach((key) -> this.owners.put(key, owner)));
-		this.urgency = new UrgencyScale(routes, owners);
+		this.urgencyScale = new UrgencyScale(routes, owners);
 	}
 
 	/**
@@ -68,7 +68,7 @@
 	 * @return the route, if there is one
 	 */
 	public Optional<Route> match(String host, String path) {
-		Map<String, Route> routes = this.byHost.get(nameOf(host));
+		Map<String, Route> routes = this.byHost.get(hostName(host));
 		if (routes == null) {
 			return Optional.empty();
 		}
@@ -81,10 +81,10 @@
 		return Optional.empty();
 	}
 
-	private static String nameOf(String host) {
+	private static String hostName(String host) {
 		int colon = host.lastIndexOf(':');
-		boolean port = colon > 0 && colon > host.lastIndexOf(']');
-		return ((port) ? host.substring(0, colon) : host).toLowerCase(Locale.ROOT);
+		boolean hasPort = colon > 0 && colon > host.lastIndexOf(']');
+		return ((hasPort) ? host.substring(0, colon) : host).toLowerCase(Locale.ROOT);
 	}
 
 	/**
@@ -103,12 +103,13 @@
 	 * @return 0 for the highest, at most 9
 	 */
 	public int urgency(Route route, Optional<KeyOwner> owner) {
-		return this.urgency.rank(route, owner);
+		return this.urgencyScale.rank(route, owner);
 	}
 
 	/**
 	 * Return the priority of a request, its customer's or else its route's, without the
-	 * order of the routes of equal customers that {@link #urgency} makes.
+	 * order of the routes of equal customers that {@link #urgency(Route, Optional)}
+	 * makes.
 	 * @param route its route
 	 * @param owner its customer, if there is any
 	 * @return 0 for the highest, at most 9
@@ -124,7 +125,7 @@
 	 * @return the rank, if no route of its pools is less urgent
 	 */
 	public OptionalInt deferredUrgency(Route route, Optional<KeyOwner> owner) {
-		return this.urgency.deferredRank(route, owner);
+		return this.urgencyScale.deferredRank(route, owner);
 	}
 
 	/**
@@ -132,7 +133,7 @@
 	 * @return whether there is any customer
 	 */
 	public boolean isKeyed() {
-		return this.keyed;
+		return this.hasCustomers;
 	}
 
 	/**
--- a/core/src/main/java/org/acaciacourse/core/route/RouteTableParser.java
+++ b/core/src/main/java/org/acaciacourse/core/route/RouteTableParser.java
@@ -48,9 +48,9 @@
 	/** The key that is passed over. */
 	public static final String ANNOTATION = "annotation";
 
-	private ManifestDocument before = ManifestDocument.empty();
+	private ManifestDocument previousDocument = ManifestDocument.empty();
 
-	private Map<String, Object> madeBefore = Map.of();
+	private Map<String, Object> previousElements = Map.of();
 
 	private List<Problem> problems = new ArrayList<>();
 
@@ -70,73 +70,75 @@
 	 */
 	public Either<List<Problem>, RouteTable> parse(ManifestDocument document) {
 		this.problems = new ArrayList<>();
-		Map<String, Object> made = new HashMap<>();
+		Map<String, Object> elements = new HashMap<>();
 		SortedMap<String, SortedMap<String, String>> sections = document.sections();
-		List<Pool> pools = each(POOL, document, sections, this::pool, made, Pool.class);
-		List<KeyOwner> owners = each(CUSTOMER, document, sections, this::owner, made, KeyOwner.class);
-		List<Route> routes = each(ROUTE, document, sections, this::route, made, Route.class);
-		Section head = new Section(ROUTING, sections.getOrDefault(ROUTING, new TreeMap<>()));
-		long number = head.number("number", 1, Long.MAX_VALUE, 0);
-		CallerLimits limits = limits(head);
-		checkPlaces(routes);
-		checkPools(routes, pools);
-		checkKeys(owners);
+		List<Pool> pools = parseSections(POOL, document, sections, this::parsePool, elements, Pool.class);
+		List<KeyOwner> owners = parseSections(CUSTOMER, document, sections, this::parseOwner, elements, KeyOwner.class);
+		List<Route> routes = parseSections(ROUTE, document, sections, this::parseRoute, elements, Route.class);
+		SectionReader routing = new SectionReader(ROUTING, sections.getOrDefault(ROUTING, new TreeMap<>()));
+		long number = routing.number("number", 1, Long.MAX_VALUE, 0);
+		CallerLimits limits = parseLimits(routing);
+		checkUniqueHostAndPrefix(routes);
+		checkPoolReferences(routes, pools);
+		checkUniqueKeys(owners);
 		if (!this.problems.isEmpty()) {
 			return Either.left(List.copyOf(this.problems));
 		}
-		this.before = document;
-		this.madeBefore = made;
+		this.previousDocument = document;
+		this.previousElements = elements;
 		return Either.right(new RouteTable(number, limits, routes, pools, owners));
 	}
 
-	private <T> List<T> each(String kind, ManifestDocument document,
-			SortedMap<String, SortedMap<String, String>> sections, BiFunction<String, Section, T> make,
-			Map<String, Object> made, Class<T> type) {
-		List<T> all = new ArrayList<>();
+	private <T> List<T> parseSections(String prefix, ManifestDocument document,
+			SortedMap<String, SortedMap<String, String>> sections, BiFunction<String, SectionReader, T> parser,
+			Map<String, Object> elements, Class<T> type) {
+		List<T> parsed = new ArrayList<>();
 		// An exclamation mark follows a blank: the range holds the sections of this kind.
-		String end = kind.strip() + "!";
-		sections.subMap(kind, end).forEach((name, keys) -> {
-			Object old = (this.before.sharesSection(name, document)) ? this.madeBefore.get(name) : null;
+		String end = prefix.strip() + "!";
+		sections.subMap(prefix, end).forEach((name, keys) -> {
+			Object previous = (this.previousDocument.sharesSection(name, document)) ? this.previousElements.get(name)
+					: null;
 			int problemsBefore = this.problems.size();
-			T one = type.cast((old != null) ? old : make.apply(name.substring(kind.length()), new Section(name, keys)));
+			T element = type.cast((previous != null) ? previous
+					: parser.apply(name.substring(prefix.length()), new SectionReader(name, keys)));
 			if (this.problems.size() == problemsBefore) {
-				made.put(name, one);
-				all.add(one);
+				elements.put(name, element);
+				parsed.add(element);
 			}
 		});
-		return all;
+		return parsed;
 	}
 
-	private Pool pool(String name, Section section) {
+	private Pool parsePool(String name, SectionReader section) {
 		return new Pool(name, (int) section.number("max-connections", 1, 1_000_000, 100),
 				section.number("engine-tokens", 0, Long.MAX_VALUE, 0));
 	}
 
-	private KeyOwner owner(String name, Section section) {
+	private KeyOwner parseOwner(String name, SectionReader section) {
 		Optional<String> priority = section.text("priority");
-		OptionalInt rank = (priority.isPresent()) ? OptionalInt.of((int) section.number("priority", 0, 1_000, 0))
-				: OptionalInt.empty();
-		return new KeyOwner(name, section.list("keys"), rank);
+		OptionalInt routingPriority = (priority.isPresent())
+				? OptionalInt.of((int) section.number("priority", 0, 1_000, 0)) : OptionalInt.empty();
+		return new KeyOwner(name, section.list("keys"), routingPriority);
 	}
 
-	private Route route(String name, Section section) {
+	private Route parseRoute(String name, SectionReader section) {
 		Optional<RequestKind> kind = section.text("kind").flatMap(RequestKind::ofLabel);
 		if (kind.isEmpty()) {
-			section.problem("kind", "expected safe, unsafe or stream");
+			section.addProblem("kind", "expected safe, unsafe or stream");
 		}
 		String prefix = section.text("path-prefix").orElse("");
 		if (!prefix.startsWith("/") || !prefix.endsWith("/")) {
-			section.problem("path-prefix", "has to begin and end with a slash");
+			section.addProblem("path-prefix", "has to begin and end with a slash");
 		}
 		Duration timeout = section.duration("timeout", Duration.ZERO);
 		if (timeout.isZero()) {
-			section.problem("timeout", "has to be above 0");
+			section.addProblem("timeout", "has to be above 0");
 		}
-		List<PoolShare> shares = shares(section);
+		List<PoolShare> shares = parseShares(section);
 		if (shares.stream().mapToLong(PoolShare::weight).sum() <= 0) {
-			section.problem("pools", "the weights add up to 0");
+			section.addProblem("pools", "the weights add up to 0");
 		}
-		if (!section.isSound()) {
+		if (!section.isValid()) {
 			return null;
 		}
 		return new Route(name, section.text("host").orElse(""), prefix, kind.get(), section.flag("resumable"), timeout,
@@ -145,7 +147,7 @@
 				section.flag("anonymous"), section.flag("affinity"));
 	}
 
-	private static List<PoolShare> shares(Section section) {
+	private static List<PoolShare> parseShares(SectionReader section) {
 		List<PoolShare> shares = new ArrayList<>();
 		for (String share : section.list("pools")) {
 			int colon = share.lastIndexOf(':');
@@ -154,59 +156,60 @@
 						: new PoolShare(share.substring(0, colon), Long.parseLong(share.substring(colon + 1))));
 			}
 			catch (IllegalArgumentException ex) {
-				section.problem("pools", "expected POOL:WEIGHT, ...");
+				section.addProblem("pools", "expected POOL:WEIGHT, ...");
 			}
 		}
 		return shares;
 	}
 
-	private static CallerLimits limits(Section head) {
-		CallerLimits fallback = CallerLimits.DEFAULT;
-		return new CallerLimits((int) head.number("max-header-bytes", 1, Integer.MAX_VALUE, fallback.maxHeaderBytes()),
-				(int) head.number("max-body-bytes", 1, Integer.MAX_VALUE, fallback.maxBodyBytes()),
-				head.duration("header-timeout", fallback.headerTimeout()),
-				head.duration("idle-timeout", fallback.idleTimeout()));
+	private static CallerLimits parseLimits(SectionReader routing) {
+		CallerLimits defaults = CallerLimits.DEFAULT;
+		return new CallerLimits(
+				(int) routing.number("max-header-bytes", 1, Integer.MAX_VALUE, defaults.maxHeaderBytes()),
+				(int) routing.number("max-body-bytes", 1, Integer.MAX_VALUE, defaults.maxBodyBytes()),
+				routing.duration("header-timeout", defaults.headerTimeout()),
+				routing.duration("idle-timeout", defaults.idleTimeout()));
 	}
 
-	private void checkPlaces(List<Route> routes) {
+	private void checkUniqueHostAndPrefix(List<Route> routes) {
 		Map<String, String> names = new HashMap<>();
 		for (Route route : routes) {
 			String other = names.putIfAbsent(route.host() + ' ' + route.pathPrefix(), route.name());
 			if (other != null) {
-				problem(ROUTE + route.name(), "path-prefix", "host and prefix are those of route " + other + " too");
+				addProblem(ROUTE + route.name(), "path-prefix", "host and prefix are those of route " + other + " too");
 			}
 		}
 	}
 
-	private void checkPools(List<Route> routes, List<Pool> pools) {
+	private void checkPoolReferences(List<Route> routes, List<Pool> pools) {
 		Set<String> known = new HashSet<>();
 		pools.forEach((pool) -> known.add(pool.name()));
 		for (Route route : routes) {
 			route.shares()
 				.stream()
 				.filter((share) -> !known.contains(share.pool()))
-				.forEach((share) -> problem(ROUTE + route.name(), "pools", "there is no pool " + share.pool()));
+				.forEach((share) -> addProblem(ROUTE + route.name(), "pools", "there is no pool " + share.pool()));
 		}
 	}
 
-	private void checkKeys(List<KeyOwner> owners) {
+	private void checkUniqueKeys(List<KeyOwner> owners) {
 		Map<String, String> customers = new HashMap<>();
 		for (KeyOwner owner : owners) {
 			for (String key : owner.keys()) {
 				String other = customers.putIfAbsent(key, owner.customer());
 				if (other != null && !other.equals(owner.customer())) {
-					problem(CUSTOMER + owner.customer(), "keys", "a key is one of customer " + other + " too");
+					addProblem(CUSTOMER + owner.customer(), "keys", "a key is one of customer " + other + " too");
 				}
 			}
 		}
 	}
 
-	private void problem(String section, String key, String text) {
+	private void addProblem(String section, String key, String text) {
 		this.problems.add(new Problem(0, section, key, text));
 	}
 
 	/** Reads one section and notes what is wrong with it. */
-	private final class Section {
+	private final class SectionReader {
 
 		private final String name;
 
@@ -214,17 +217,17 @@
 
 		private final int problemsBefore = RouteTableParser.this.problems.size();
 
-		private Section(String name, SortedMap<String, String> keys) {
+		private SectionReader(String name, SortedMap<String, String> keys) {
 			this.name = name;
 			this.keys = keys;
 		}
 
-		private boolean isSound() {
+		private boolean isValid() {
 			return RouteTableParser.this.problems.size() == this.problemsBefore;
 		}
 
-		private void problem(String key, String text) {
-			RouteTableParser.this.problem(this.name, key, text);
+		private void addProblem(String key, String text) {
+			RouteTableParser.this.addProblem(this.name, key, text);
 		}
 
 		private Optional<String> text(String key) {
@@ -239,34 +242,34 @@
 			return Boolean.parseBoolean(this.keys.getOrDefault(key, "false"));
 		}
 
-		private Duration duration(String key, Duration fallback) {
+		private Duration duration(String key, Duration defaultValue) {
 			Optional<String> value = text(key);
 			Optional<Duration> duration = value.flatMap(Units::duration);
 			if (value.isPresent() && duration.isEmpty()) {
-				problem(key, "expected a number with ms, s, min or h");
+				addProblem(key, "expected a number with ms, s, min or h");
 			}
-			return duration.orElse(fallback);
+			return duration.orElse(defaultValue);
 		}
 
-		private long number(String key, long least, long most, long fallback) {
+		private long number(String key, long min, long max, long defaultValue) {
 			Optional<String> value = text(key);
 			if (value.isEmpty()) {
-				if (fallback < least) {
-					problem(key, "missing");
+				if (defaultValue < min) {
+					addProblem(key, "missing");
 				}
-				return fallback;
+				return defaultValue;
 			}
 			try {
 				long number = Long.parseLong(value.get());
-				if (number >= least && number <= most) {
+				if (number >= min && number <= max) {
 					return number;
 				}
 			}
 			catch (NumberFormatException ex) {
 				// Reported below like a number out of range.
 			}
-			problem(key, "expected a whole number from " + least + " to " + most);
-			return fallback;
+			addProblem(key, "expected a whole number from " + min + " to " + max);
+			return defaultValue;
 		}
 
 	}
--- a/core/src/main/java/org/acaciacourse/core/route/UrgencyScale.java
+++ b/core/src/main/java/org/acaciacourse/core/route/UrgencyScale.java
@@ -34,13 +34,13 @@
 	static final int RANKS = 10;
 
 	/** In place of a route's priority: behind all of them. */
-	private static final long LATE = Integer.MAX_VALUE;
+	private static final long DEFERRED = Integer.MAX_VALUE;
 
-	private final Map<String, Integer> leastUrgent = new HashMap<>();
+	private final Map<String, Integer> leastUrgentByPool = new HashMap<>();
 
 	private final List<Long> pairs;
 
-	private final boolean hasLate;
+	private final boolean hasDeferredRanks;
 
 	/**
 	 * Make the scale of a table.
@@ -49,35 +49,38 @@
 	 */
 	UrgencyScale(Collection<Route> routes, Collection<KeyOwner> owners) {
 		routes.forEach((route) -> route.shares()
-			.forEach((share) -> this.leastUrgent.merge(share.pool(), route.priority(), Math::max)));
+			.forEach((share) -> this.leastUrgentByPool.merge(share.pool(), route.priority(), Math::max)));
 		// Thousands of customers have a few priorities.
-		List<OptionalInt> ofCustomers = owners.stream().map(KeyOwner::priority).distinct().toList();
-		NavigableSet<Long> usual = new TreeSet<>();
-		routes.forEach(
-				(route) -> leading(route, ofCustomers).forEach((first) -> usual.add(pair(first, route.priority()))));
-		NavigableSet<Long> withLate = new TreeSet<>(usual);
+		List<OptionalInt> declaredPriorities = owners.stream().map(KeyOwner::priority).distinct().toList();
+		NavigableSet<Long> regular = new TreeSet<>();
+		routes.forEach((route) -> customerPriorities(route, declaredPriorities)
+			.forEach((priority) -> regular.add(pair(priority, route.priority()))));
+		NavigableSet<Long> withDeferred = new TreeSet<>(regular);
 		routes.stream()
 			.filter(this::isLeastUrgent)
-			.forEach((route) -> leading(route, ofCustomers).forEach((first) -> withLate.add(pair(first, LATE))));
-		this.hasLate = withLate.size() <= RANKS;
-		this.pairs = List.copyOf((this.hasLate) ? withLate : usual);
+			.forEach((route) -> customerPriorities(route, declaredPriorities)
+				.forEach((priority) -> withDeferred.add(pair(priority, DEFERRED))));
+		this.hasDeferredRanks = withDeferred.size() <= RANKS;
+		this.pairs = List.copyOf((this.hasDeferredRanks) ? withDeferred : regular);
 	}
 
 	// Requests of other pools wait at other endpoints.
 	private boolean isLeastUrgent(Route route) {
-		return route.shares().stream().allMatch((share) -> this.leastUrgent.get(share.pool()) == route.priority());
+		return route.shares()
+			.stream()
+			.allMatch((share) -> this.leastUrgentByPool.get(share.pool()) == route.priority());
 	}
 
 	// The priorities that requests of a route can have by their customers.
-	private static IntStream leading(Route route, List<OptionalInt> ofCustomers) {
-		IntStream told = ofCustomers.stream().mapToInt((priority) -> priority.orElse(route.priority()));
-		boolean anonymous = ofCustomers.isEmpty() || route.anonymous();
-		return (anonymous) ? IntStream.concat(told, IntStream.of(route.priority())) : told;
+	private static IntStream customerPriorities(Route route, List<OptionalInt> declaredPriorities) {
+		IntStream declared = declaredPriorities.stream().mapToInt((priority) -> priority.orElse(route.priority()));
+		boolean anonymous = declaredPriorities.isEmpty() || route.anonymous();
+		return (anonymous) ? IntStream.concat(declared, IntStream.of(route.priority())) : declared;
 	}
 
 	// Pairs are ordered by the first number, then by the second one.
-	private static long pair(int first, long second) {
-		return ((long) first << Integer.SIZE) + second;
+	private static long pair(int customerPriority, long routePriority) {
+		return ((long) customerPriority << Integer.SIZE) + routePriority;
 	}
 
 	/**
@@ -89,8 +92,8 @@
 	 * urgent: a less urgent request would go before it
 	 */
 	OptionalInt deferredRank(Route route, Optional<KeyOwner> owner) {
-		return (this.hasLate && isLeastUrgent(route)) ? OptionalInt.of(ranked(pair(priority(route, owner), LATE)))
-				: OptionalInt.empty();
+		return (this.hasDeferredRanks && isLeastUrgent(route))
+				? OptionalInt.of(rankOf(pair(priority(route, owner), DEFERRED))) : OptionalInt.empty();
 	}
 
 	/**
@@ -100,14 +103,14 @@
 	 * @return 0 for the highest, less than {@link #RANKS}
 	 */
 	int rank(Route route, Optional<KeyOwner> owner) {
-		return ranked(pair(priority(route, owner), route.priority()));
+		return rankOf(pair(priority(route, owner), route.priority()));
 	}
 
 	static int priority(Route route, Optional<KeyOwner> owner) {
 		return owner.map(KeyOwner::priority).orElse(OptionalInt.empty()).orElse(route.priority());
 	}
 
-	private int ranked(long pair) {
+	private int rankOf(long pair) {
 		int position = Collections.binarySearch(this.pairs, pair);
 		return (this.pairs.size() <= RANKS) ? position : position * RANKS / this.pairs.size();
 	}
--- a/core/src/test/java/org/acaciacourse/core/route/RouteTableParserTests.java
+++ b/core/src/test/java/org/acaciacourse/core/route/RouteTableParserTests.java
@@ -66,7 +66,7 @@
 	@Nested
 	class Refused {
 
-		private void refused(String part) {
+		private void assertProblem(String part) {
 			Either<List<Problem>, RouteTable> parsed = parse();
 			assertThat(parsed.isLeft()).isTrue();
 			assertThat(parsed.getLeft().toString()).contains(part);
@@ -75,37 +75,37 @@
 		@Test
 		void unknownPool() {
 			route("inner", "/a/b/", "nowhere");
-			refused("there is no pool nowhere");
+			assertProblem("there is no pool nowhere");
 		}
 
 		@Test
 		void equalHostAndPrefix() {
 			route("third", "/a/b/", "desk");
-			refused("host and prefix are those of route");
+			assertProblem("host and prefix are those of route");
 		}
 
 		@Test
 		void weightsThatAddUpToNothing() {
 			route("inner", "/a/b/", "llm:0, desk:0");
-			refused("the weights add up to 0");
+			assertProblem("the weights add up to 0");
 		}
 
 		@Test
 		void noTimeout() {
 			section("route inner", "timeout", "0 ms");
-			refused("has to be above 0");
+			assertProblem("has to be above 0");
 		}
 
 		@Test
 		void keyOfTwoCustomers() {
 			section("customer other", "keys", "k2");
-			refused("a key is one of customer");
+			assertProblem("a key is one of customer");
 		}
 
 		@Test
 		void noNumber() {
 			this.outer().sections.get("routing").remove("number");
-			refused("number: missing");
+			assertProblem("number: missing");
 		}
 
 		private RouteTableParserTests outer() {
@@ -126,7 +126,7 @@
 		// A customer that lost all its keys is refused. Were the table taken for one
 		// without customers, everybody would be served.
 		@Test
-		void customerWithoutKeysKeepsTheTableKeyed() {
+		void customerWithoutKeysStillRequiresAKey() {
 			section("customer bank", "keys", "");
 			assertThat(parse().get().isKeyed()).isTrue();
 		}
@@ -137,7 +137,7 @@
 	class Changes {
 
 		@Test
-		void sectionsThatDidNotChangeAreTakenOver() {
+		void unchangedSectionsAreReused() {
 			RouteTableParser parser = new RouteTableParser();
 			Route before = parser.parse(new ManifestDocument(RouteTableParserTests.this.sections))
 				.get()
@@ -155,7 +155,7 @@
 		}
 
 		@Test
-		void sectionThatIsWrongIsNotTakenOverLater() {
+		void invalidSectionIsNotReused() {
 			RouteTableParser parser = new RouteTableParser();
 			route("inner", "/a/b/", "nowhere");
 			assertThat(parser.parse(new ManifestDocument(RouteTableParserTests.this.sections)).isLeft()).isTrue();
--- a/core/src/test/java/org/acaciacourse/core/route/UrgencyScaleTests.java
+++ b/core/src/test/java/org/acaciacourse/core/route/UrgencyScaleTests.java
@@ -47,14 +47,14 @@
 		 * and that went in the place of the route's.
 		 */
 		@Test
-		void routesOfEqualCustomersAreToldApart() {
+		void routesOfEqualCustomersGetDistinctRanks() {
 			UrgencyScale scale = new UrgencyScale(this.routes, List.of(owner(OptionalInt.of(1))));
 			assertThat(rank(scale, 0, 1)).isLessThan(rank(scale, 1, 1));
 			assertThat(rank(scale, 1, 1)).isLessThan(rank(scale, 2, 1));
 		}
 
 		@Test
-		void customerGoesBeforeTheRoute() {
+		void customerPriorityTakesPrecedence() {
 			UrgencyScale scale = new UrgencyScale(this.routes,
 					List.of(owner(OptionalInt.of(0)), owner(OptionalInt.of(1))));
 			assertThat(rank(scale, 2, 0)).isLessThan(rank(scale, 0, 1));
@@ -97,7 +97,7 @@
 		private final UrgencyScale scale = new UrgencyScale(this.routes, List.of(this.high, this.low));
 
 		@Test
-		void goesBehindItsOwnKindAndBeforeLowerCustomers() {
+		void ranksBehindItsOwnRoutesAndBeforeLowerCustomers() {
 			int deferred = this.scale.deferredRank(route(1), Optional.of(this.high)).getAsInt();
 			assertThat(deferred).isGreaterThan(rank(this.scale, 1, 0));
 			assertThat(deferred).isLessThan(rank(this.scale, 0, 1));
@@ -109,7 +109,7 @@
 		 * anonymous requests have were multiplied by all routes and left no rank.
 		 */
 		@Test
-		void anonymousRoutesLeaveARankForWhatIsLate() {
+		void anonymousRoutesLeaveRoomForDeferredRanks() {
 			List<Route> several = List.of(route(0), route(1), route(2, true));
 			KeyOwner customer = owner(OptionalInt.of(1));
 			UrgencyScale scale = new UrgencyScale(several, List.of(customer));
@@ -127,14 +127,14 @@
 		@Test
 		void routesOfOtherPoolsDoNotCount() {
 			Route calls = route(5, false, "service");
-			UrgencyScale beside = new UrgencyScale(List.of(route(0), route(1), calls), List.of(this.high));
-			assertThat(beside.deferredRank(route(1), Optional.of(this.high)).isPresent()).isTrue();
-			assertThat(beside.deferredRank(calls, Optional.of(this.high)).isPresent()).isTrue();
-			assertThat(beside.deferredRank(route(0), Optional.of(this.high))).isEqualTo(OptionalInt.empty());
+			UrgencyScale withCalls = new UrgencyScale(List.of(route(0), route(1), calls), List.of(this.high));
+			assertThat(withCalls.deferredRank(route(1), Optional.of(this.high)).isPresent()).isTrue();
+			assertThat(withCalls.deferredRank(calls, Optional.of(this.high)).isPresent()).isTrue();
+			assertThat(withCalls.deferredRank(route(0), Optional.of(this.high))).isEqualTo(OptionalInt.empty());
 		}
 
 		@Test
-		void moreUrgentKindsAreNotDeferred() {
+		void moreUrgentRoutesAreNotDeferred() {
 			assertThat(this.scale.deferredRank(route(0), Optional.of(this.high))).isEqualTo(OptionalInt.empty());
 		}
 
@@ -149,7 +149,7 @@
 		 * first customers would wait behind longer ones again.
 		 */
 		@Test
-		void pairsThatFitAreToldApartWithoutARankForWhatIsLate() {
+		void pairsThatFitGetDistinctRanksWithoutDeferredRanks() {
 			List<Route> routes = List.of(route(0), route(1), route(2));
 			List<KeyOwner> owners = IntStream.range(0, 3).mapToObj((i) -> owner(OptionalInt.of(i))).toList();
 			UrgencyScale scale = new UrgencyScale(routes, owners);
