--- a/core/src/main/java/org/acaciacourse/core/manifest/ManifestParser.java
+++ b/core/src/main/java/org/acaciacourse/core/manifest/ManifestParser.java
@@ -44,7 +44,7 @@
 
 	private static final String NAME_FORM = "[A-Za-z0-9][A-Za-z0-9._-]{0,62}";
 
-	private static final Pattern SECTION = Pattern
+	private static final Pattern SECTION_NAME = Pattern
 		.compile("(policy|endpoint-set|class|endpoint|customer|service|vm) " + NAME_FORM);
 
 	private static final Pattern ADDRESS = Pattern.compile("http://[0-9a-fA-F.:\\[\\]]+:[0-9]{1,5}");
@@ -66,7 +66,7 @@
 	private ManifestParser(ManifestDocument document, BiFunction<String, String, Integer> lines,
 			Optional<Previous> previous) {
 		this.document = document;
-		this.previous = previous.filter((old) -> old.keepsReferencesOf(document));
+		this.previous = previous.filter((old) -> old.referencesRemainValidIn(document));
 		this.sections = document.sections();
 		this.lines = lines;
 	}
@@ -111,41 +111,41 @@
 
 	private Either<List<Problem>, Manifest> parse() {
 		checkSectionNames();
-		Map<String, Policy> policies = each("policy", this::policy, Manifest::policies);
-		Map<String, EndpointSet> sets = each("endpoint-set", this::endpointSet, Manifest::endpointSets);
-		Map<String, RequestClass> classes = each("class", this::requestClass, Manifest::classes);
-		Map<String, Endpoint> endpoints = each("endpoint", this::endpoint, Manifest::endpoints);
-		Map<String, Customer> customers = each("customer", this::customer, Manifest::customers);
-		Map<String, Service> services = each("service", this::service, Manifest::services);
-		Set<String> drainedVms = each("vm", this::vm, (manifest) -> Map.of()).entrySet()
+		Map<String, Policy> policies = parseSections("policy", this::parsePolicy, Manifest::policies);
+		Map<String, EndpointSet> sets = parseSections("endpoint-set", this::parseEndpointSet, Manifest::endpointSets);
+		Map<String, RequestClass> classes = parseSections("class", this::parseRequestClass, Manifest::classes);
+		Map<String, Endpoint> endpoints = parseSections("endpoint", this::parseEndpoint, Manifest::endpoints);
+		Map<String, Customer> customers = parseSections("customer", this::parseCustomer, Manifest::customers);
+		Map<String, Service> services = parseSections("service", this::parseService, Manifest::services);
+		Set<String> drainedVms = parseSections("vm", this::parseVmDrain, (manifest) -> Map.of()).entrySet()
 			.stream()
 			.filter(Map.Entry::getValue)
 			.map(Map.Entry::getKey)
 			.collect(Collectors.toSet());
-		SectionReader head = reader(MANIFEST);
-		long number = head.wholeNumber("number", 1, Long.MAX_VALUE);
-		String policy = head.reference("policy", "policy");
-		Optional<String> split = head.optional("split");
-		split.ifPresent((name) -> head.checkReference("split", "policy", name));
-		int percent = (int) head.wholeNumber("split-percent", 0, 100, 0);
-		head.finish();
+		SectionReader manifestSection = reader(MANIFEST);
+		long number = manifestSection.wholeNumber("number", 1, Long.MAX_VALUE);
+		String policy = manifestSection.reference("policy", "policy");
+		Optional<String> split = manifestSection.optional("split");
+		split.ifPresent((name) -> manifestSection.checkReference("split", "policy", name));
+		int splitPercent = (int) manifestSection.wholeNumber("split-percent", 0, 100, 0);
+		manifestSection.reportUnknownKeys();
 		checkUniqueKeys(customers);
 		if (!this.problems.isEmpty()) {
 			return Either.left(List.copyOf(this.problems));
 		}
-		PolicyInForce inForce = new PolicyInForce(policy, split, percent);
+		PolicyInForce inForce = new PolicyInForce(policy, split, splitPercent);
 		return Either.right(new Manifest(number, this.document.digest(), inForce, policies, classes, sets, endpoints,
 				customers, services, drainedVms));
 	}
 
 	private void checkSectionNames() {
 		for (String section : this.sections.keySet()) {
-			if (!SECTION.matcher(section).matches() && !section.equals(MANIFEST)) {
-				problem(section, "", "unknown section, or a name that is not " + NAME_FORM);
+			if (!SECTION_NAME.matcher(section).matches() && !section.equals(MANIFEST)) {
+				addProblem(section, "", "unknown section, or a name that is not " + NAME_FORM);
 			}
 		}
 		if (!this.document.contains(MANIFEST)) {
-			problem(MANIFEST, "", "missing section");
+			addProblem(MANIFEST, "", "missing section");
 		}
 	}
 
@@ -154,13 +154,13 @@
 		customers.values().forEach((customer) -> customer.keyDigests().forEach((digest) -> {
 			String other = owners.putIfAbsent(digest, customer.name());
 			if (other != null) {
-				problem("customer " + customer.name(), "key-sha256", "is a key of customer " + other + " too");
+				addProblem("customer " + customer.name(), "key-sha256", "is a key of customer " + other + " too");
 			}
 		}));
 	}
 
-	private Policy policy(String name, SectionReader reader) {
-		PolicyKind kind = reader.word("kind", PolicyKind::ofLabel, PolicyKind.TIERED);
+	private Policy parsePolicy(String name, SectionReader reader) {
+		PolicyKind kind = reader.enumValue("kind", PolicyKind::ofLabel, PolicyKind.TIERED);
 		Map<String, Double> numbers = reader.remainingNumbers();
 		numbers.forEach((key, value) -> checkParameter(reader, key, value));
 		return new Policy(name, kind, numbers);
@@ -169,31 +169,31 @@
 	private static void checkParameter(SectionReader reader, String key, double value) {
 		Optional<PolicyParameter> parameter = PolicyParameter.ofLabel(key);
 		if (parameter.isEmpty()) {
-			reader.problem(key, "unknown parameter");
+			reader.addProblem(key, "unknown parameter");
 		}
 		else if (!parameter.get().permits(value)) {
-			reader.problem(key, "must be " + parameter.get().range());
+			reader.addProblem(key, "must be " + parameter.get().range());
 		}
 	}
 
-	private EndpointSet endpointSet(String name, SectionReader reader) {
-		EndpointSet.Kind kind = reader.word("kind", EndpointSet.Kind::ofLabel, EndpointSet.Kind.MODEL);
+	private EndpointSet parseEndpointSet(String name, SectionReader reader) {
+		EndpointSet.Kind kind = reader.enumValue("kind", EndpointSet.Kind::ofLabel, EndpointSet.Kind.MODEL);
 		Set<String> models = Set.copyOf(reader.list("models", kind == EndpointSet.Kind.MODEL));
 		return new EndpointSet(name, kind, models, reader.flag("resume", false), reader.flag("deterministic", false),
 				reader.flag("checks-fencing", false));
 	}
 
-	private RequestClass requestClass(String name, SectionReader reader) {
-		Tier tier = reader.word("tier", Tier::ofLabel, Tier.MIDDLE);
-		LatencyTarget target = target(reader);
+	private RequestClass parseRequestClass(String name, SectionReader reader) {
+		Tier tier = reader.enumValue("tier", Tier::ofLabel, Tier.MIDDLE);
+		LatencyTarget target = parseTarget(reader);
 		Duration deadline = reader.duration("deadline", target.limit());
 		boolean preemptible = reader.flag("preemptible", false);
 		if (deadline.compareTo(target.limit()) < 0) {
-			reader.problem("deadline", "is shorter than the target");
+			reader.addProblem("deadline", "is shorter than the target");
 			deadline = target.limit();
 		}
 		if (preemptible && tier == Tier.HIGH) {
-			reader.problem("preemptible", "the high tier is never preempted");
+			reader.addProblem("preemptible", "the high tier is never preempted");
 			preemptible = false;
 		}
 		List<String> sets = reader.list("endpoint-sets", true);
@@ -201,29 +201,29 @@
 		return new RequestClass(name, tier, target, deadline, preemptible, sets);
 	}
 
-	private LatencyTarget target(SectionReader reader) {
+	private LatencyTarget parseTarget(SectionReader reader) {
 		LatencyTarget fallback = new LatencyTarget(LatencyTarget.Kind.WHOLE_ANSWER, Duration.ofSeconds(1));
 		String[] words = reader.required("target").split("\\s+", 2);
 		Optional<LatencyTarget.Kind> kind = LatencyTarget.Kind.ofLabel(words[0]);
 		Optional<Duration> limit = (words.length == 2) ? Units.duration(words[1]) : Optional.empty();
 		if (kind.isEmpty() || limit.isEmpty() || limit.get().isZero()) {
-			reader.problem("target", "expected first-token or whole-answer and a duration");
+			reader.addProblem("target", "expected first-token or whole-answer and a duration");
 			return fallback;
 		}
 		return new LatencyTarget(kind.get(), limit.get());
 	}
 
-	private Endpoint endpoint(String name, SectionReader reader) {
+	private Endpoint parseEndpoint(String name, SectionReader reader) {
 		String set = reader.reference("set", "endpoint-set");
 		URI address = reader.address("address");
 		int slots = (int) reader.wholeNumber("slots", 1, 100_000, 8);
 		return new Endpoint(name, set, address, reader.required("data-centre"), slots, reader.flag("drain", false));
 	}
 
-	private Customer customer(String name, SectionReader reader) {
+	private Customer parseCustomer(String name, SectionReader reader) {
 		List<String> digests = reader.list("key-sha256", true);
 		if (!digests.stream().allMatch((digest) -> KEY_DIGEST.matcher(digest).matches())) {
-			reader.problem("key-sha256", "expected 64 lower-case hexadecimal digits for each key");
+			reader.addProblem("key-sha256", "expected 64 lower-case hexadecimal digits for each key");
 		}
 		List<String> classes = reader.list("classes", true);
 		classes.forEach((c) -> reader.checkReference("classes", "class", c));
@@ -231,20 +231,20 @@
 		double rate = reader.number("requests-per-second", 1_000);
 		int weight = (int) reader.wholeNumber("weight", 1, 1_000, 1);
 		if (!(rate > 0)) {
-			reader.problem("requests-per-second", "must be above 0");
+			reader.addProblem("requests-per-second", "must be above 0");
 			rate = 1;
 		}
 		return new Customer(name, Set.copyOf(digests), classes, inFlight, rate, weight);
 	}
 
-	private Service service(String name, SectionReader reader) {
+	private Service parseService(String name, SectionReader reader) {
 		String set = reader.reference("endpoint-set", "endpoint-set");
 		String requestClass = reader.reference("class", "class");
 		List<Service.Call> calls = new ArrayList<>();
 		for (String call : reader.list("not-repeated", false)) {
 			String[] words = call.split("\\s+", 2);
 			if (words.length != 2 || !words[0].matches("[A-Z]+") || !words[1].startsWith("/")) {
-				reader.problem("not-repeated", "expected METHOD /path, ...");
+				reader.addProblem("not-repeated", "expected METHOD /path, ...");
 				continue;
 			}
 			calls.add(new Service.Call(words[0], words[1]));
@@ -252,35 +252,35 @@
 		return new Service(name, set, requestClass, calls);
 	}
 
-	private Boolean vm(String name, SectionReader reader) {
+	private Boolean parseVmDrain(String name, SectionReader reader) {
 		return reader.flag("drain", false);
 	}
 
-	private <T> Map<String, T> each(String kind, BiFunction<String, SectionReader, T> make,
-			Function<Manifest, Map<String, T>> madeBefore) {
-		Map<String, T> made = new HashMap<>();
+	private <T> Map<String, T> parseSections(String kind, BiFunction<String, SectionReader, T> parser,
+			Function<Manifest, Map<String, T>> previousElements) {
+		Map<String, T> elements = new HashMap<>();
 		String prefix = kind + " ";
 		// An exclamation mark follows a blank: the range holds the sections of this kind.
 		for (String section : this.sections.subMap(prefix, kind + "!").keySet()) {
 			String name = section.substring(prefix.length());
-			Optional<T> old = this.previous.filter((p) -> p.document().sharesSection(section, this.document))
-				.flatMap((p) -> Optional.ofNullable(madeBefore.apply(p.manifest()).get(name)));
-			made.put(name, old.orElseGet(() -> make(name, reader(section), make)));
+			Optional<T> unchanged = this.previous.filter((p) -> p.document().sharesSection(section, this.document))
+				.flatMap((p) -> Optional.ofNullable(previousElements.apply(p.manifest()).get(name)));
+			elements.put(name, unchanged.orElseGet(() -> parseSection(name, reader(section), parser)));
 		}
-		return made;
+		return elements;
 	}
 
-	private <T> T make(String name, SectionReader reader, BiFunction<String, SectionReader, T> make) {
-		T made = make.apply(name, reader);
-		reader.finish();
-		return made;
+	private <T> T parseSection(String name, SectionReader reader, BiFunction<String, SectionReader, T> parser) {
+		T element = parser.apply(name, reader);
+		reader.reportUnknownKeys();
+		return element;
 	}
 
 	private SectionReader reader(String section) {
 		return new SectionReader(section, this.sections.getOrDefault(section, new TreeMap<>()));
 	}
 
-	private void problem(String section, String key, String text) {
+	private void addProblem(String section, String key, String text) {
 		this.problems.add(new Problem(this.lines.apply(section, key), section, key, text));
 	}
 
@@ -294,13 +294,13 @@
 
 		// A section that did not change can still become wrong when one that it refers to
 		// goes away. Then all are checked anew; nothing refers to the other kinds.
-		private boolean keepsReferencesOf(ManifestDocument next) {
-			return allStand(this.manifest.policies().keySet(), "policy ", next)
-					&& allStand(this.manifest.endpointSets().keySet(), "endpoint-set ", next)
-					&& allStand(this.manifest.classes().keySet(), "class ", next);
+		private boolean referencesRemainValidIn(ManifestDocument next) {
+			return containsAll(this.manifest.policies().keySet(), "policy ", next)
+					&& containsAll(this.manifest.endpointSets().keySet(), "endpoint-set ", next)
+					&& containsAll(this.manifest.classes().keySet(), "class ", next);
 		}
 
-		private static boolean allStand(Set<String> names, String prefix, ManifestDocument next) {
+		private static boolean containsAll(Set<String> names, String prefix, ManifestDocument next) {
 			return names.stream().allMatch((name) -> next.contains(prefix + name));
 		}
 
@@ -311,25 +311,25 @@
 
 		private final String section;
 
-		private final SortedMap<String, String> rest;
+		private final SortedMap<String, String> unread;
 
 		private SectionReader(String section, SortedMap<String, String> keys) {
 			this.section = section;
-			this.rest = new TreeMap<>(keys);
+			this.unread = new TreeMap<>(keys);
 		}
 
-		private void problem(String key, String text) {
-			ManifestParser.this.problem(this.section, key, text);
+		private void addProblem(String key, String text) {
+			ManifestParser.this.addProblem(this.section, key, text);
 		}
 
 		private Optional<String> optional(String key) {
-			return Optional.ofNullable(this.rest.remove(key)).filter((value) -> !value.isEmpty());
+			return Optional.ofNullable(this.unread.remove(key)).filter((value) -> !value.isEmpty());
 		}
 
 		private String required(String key) {
 			Optional<String> value = optional(key);
 			if (value.isEmpty()) {
-				problem(key, "missing");
+				addProblem(key, "missing");
 			}
 			return value.orElse("");
 		}
@@ -344,7 +344,7 @@
 
 		private void checkReference(String key, String kind, String name) {
 			if (!ManifestParser.this.document.contains(kind + " " + name)) {
-				problem(key, "there is no [" + kind + " " + name + "]");
+				addProblem(key, "there is no [" + kind + " " + name + "]");
 			}
 		}
 
@@ -356,16 +356,16 @@
 		private boolean flag(String key, boolean defaultValue) {
 			String value = optional(key).orElse(Boolean.toString(defaultValue));
 			if (!value.equals("true") && !value.equals("false")) {
-				problem(key, "expected true or false");
+				addProblem(key, "expected true or false");
 			}
 			return value.equals("true");
 		}
 
-		private <T> T word(String key, Function<String, Optional<T>> find, T fallback) {
+		private <T> T enumValue(String key, Function<String, Optional<T>> lookup, T fallback) {
 			String value = required(key);
-			Optional<T> found = find.apply(value);
+			Optional<T> found = lookup.apply(value);
 			if (found.isEmpty() && !value.isEmpty()) {
-				problem(key, "unknown word " + value);
+				addProblem(key, "unknown word " + value);
 			}
 			return found.orElse(fallback);
 		}
@@ -374,32 +374,32 @@
 			String value = required(key);
 			Optional<Duration> duration = Units.duration(value);
 			if (duration.isEmpty() && !value.isEmpty()) {
-				problem(key, "expected a number with ms, s, min or h");
+				addProblem(key, "expected a number with ms, s, min or h");
 			}
 			return duration.orElse(fallback);
 		}
 
-		private long wholeNumber(String key, long least, long most) {
+		private long wholeNumber(String key, long min, long max) {
 			String value = required(key);
-			return (value.isEmpty()) ? least : inRange(key, value, least, most);
+			return (value.isEmpty()) ? min : parseInRange(key, value, min, max);
 		}
 
-		private long wholeNumber(String key, long least, long most, long defaultValue) {
-			return optional(key).map((value) -> inRange(key, value, least, most)).orElse(defaultValue);
+		private long wholeNumber(String key, long min, long max, long defaultValue) {
+			return optional(key).map((value) -> parseInRange(key, value, min, max)).orElse(defaultValue);
 		}
 
-		private long inRange(String key, String value, long least, long most) {
+		private long parseInRange(String key, String value, long min, long max) {
 			try {
 				long number = Long.parseLong(value);
-				if (number >= least && number <= most) {
+				if (number >= min && number <= max) {
 					return number;
 				}
 			}
 			catch (NumberFormatException ex) {
 				// Reported below like a number out of range.
 			}
-			problem(key, "expected a whole number from " + least + " to " + most);
-			return least;
+			addProblem(key, "expected a whole number from " + min + " to " + max);
+			return min;
 		}
 
 		private double number(String key, double defaultValue) {
@@ -416,7 +416,7 @@
 			catch (NumberFormatException ex) {
 				// Reported below like a number that is not finite.
 			}
-			problem(key, "expected a number");
+			addProblem(key, "expected a number");
 			return fallback;
 		}
 
@@ -424,21 +424,21 @@
 			String value = required(key);
 			boolean valid = ADDRESS.matcher(value).matches();
 			if (!valid && !value.isEmpty()) {
-				problem(key, "expected http://IP:PORT");
+				addProblem(key, "expected http://IP:PORT");
 			}
 			return URI.create((valid) ? value : "http://127.0.0.1:1");
 		}
 
 		private Map<String, Double> remainingNumbers() {
 			Map<String, Double> numbers = new TreeMap<>();
-			for (String key : List.copyOf(this.rest.keySet())) {
+			for (String key : List.copyOf(this.unread.keySet())) {
 				numbers.put(key, number(key, 0));
 			}
 			return numbers;
 		}
 
-		private void finish() {
-			this.rest.keySet().forEach((key) -> problem(key, "unknown key"));
+		private void reportUnknownKeys() {
+			this.unread.keySet().forEach((key) -> addProblem(key, "unknown key"));
 		}
 
 	}
--- a/core/src/test/java/org/acaciacourse/core/manifest/ManifestDocumentTests.java
+++ b/core/src/test/java/org/acaciacourse/core/manifest/ManifestDocumentTests.java
@@ -24,7 +24,7 @@
 	class Delta {
 
 		@Test
-		void leadsFromOneDocumentToTheOther() {
+		void turnsOneDocumentIntoTheOther() {
 			ManifestDocument first = document(Map.of("a", Map.of("k", "1"), "b", Map.of("k", "1")));
 			ManifestDocument second = document(Map.of("b", Map.of("k", "2"), "c", Map.of()));
 			ManifestDelta delta = first.deltaTo(second);
@@ -39,7 +39,7 @@
 	class Digest {
 
 		@Test
-		void tellsWhereAValueEnds() {
+		void dependsOnWhereAValueEnds() {
 			ManifestDocument first = document(Map.of("a", Map.of("k", "1v2")));
 			ManifestDocument second = document(Map.of("a", Map.of("k1v", "2")));
 			assertThat(first.digest()).isNotEqualTo(second.digest());
--- a/core/src/test/java/org/acaciacourse/core/manifest/ManifestParserTests.java
+++ b/core/src/test/java/org/acaciacourse/core/manifest/ManifestParserTests.java
@@ -70,7 +70,7 @@
 		}
 
 		@Test
-		void equalsTheManifestThatIsReadWhole() {
+		void equalsFullParse() {
 			ManifestDocument next = with("endpoint llm-2",
 					Map.of("set", "llm", "address", "http://127.0.0.1:9002", "data-centre", "zone-b"));
 			assertThat(ManifestParser.manifest(next, this.manifest, this.before))
@@ -80,7 +80,7 @@
 		// A class is removed while a customer that did not change still names it. Reusing
 		// the customer unchecked would let requests of a class that is not there in.
 		@Test
-		void reportsAReferenceThatLostItsTarget() {
+		void reportsAReferenceToARemovedSection() {
 			ManifestDocument next = this.before.with(new ManifestDelta(new TreeMap<>(), Set.of("class broker")));
 			assertThat(ManifestParser.manifest(next, this.manifest, this.before).getLeft()).hasSize(1);
 		}
@@ -115,7 +115,7 @@
 		}
 
 		@Test
-		void reportsALineThatIsNoIni() {
+		void reportsALineThatIsNotIni() {
 			assertThat(problems(VALID + "what is this\n").get(0).line()).isEqualTo(22);
 		}
 
