--- a/core/src/main/java/org/acaciacourse/core/settings/SettingKey.java
+++ b/core/src/main/java/org/acaciacourse/core/settings/SettingKey.java
@@ -97,14 +97,14 @@
 
 	private final String defaultText;
 
-	private final String meaning;
+	private final String description;
 
-	SettingKey(String section, String key, SettingType type, String defaultText, String meaning) {
+	SettingKey(String section, String key, SettingType type, String defaultText, String description) {
 		this.section = section;
 		this.key = key;
 		this.type = type;
 		this.defaultText = defaultText;
-		this.meaning = meaning;
+		this.description = description;
 	}
 
 	/**
@@ -155,8 +155,8 @@
 	 * Return what the setting is for.
 	 * @return the meaning
 	 */
-	public String meaning() {
-		return this.meaning;
+	public String description() {
+		return this.description;
 	}
 
 }
--- a/core/src/main/java/org/acaciacourse/core/settings/Settings.java
+++ b/core/src/main/java/org/acaciacourse/core/settings/Settings.java
@@ -26,7 +26,7 @@
  */
 public final class Settings {
 
-	private static final int MIN_INNER_KEY = 16;
+	private static final int MIN_INNER_KEY_LENGTH = 16;
 
 	private final Map<SettingKey, String> values;
 
@@ -56,11 +56,11 @@
 		}));
 		for (SettingKey setting : SettingKey.values()) {
 			if (!values.containsKey(setting)) {
-				complete(setting, ini, sections, values, problems);
+				applyDefault(setting, ini, sections, values, problems);
 			}
 		}
 		if (problems.isEmpty()) {
-			checkTogether(ini, values, problems);
+			checkCombinations(ini, values, problems);
 		}
 		return (problems.isEmpty()) ? Either.right(new Settings(values)) : Either.left(List.copyOf(problems));
 	}
@@ -78,8 +78,8 @@
 			.collect(Collectors.toUnmodifiableSet());
 	}
 
-	private static void complete(SettingKey setting, IniText ini, Set<String> sections, Map<SettingKey, String> values,
-			List<Problem> problems) {
+	private static void applyDefault(SettingKey setting, IniText ini, Set<String> sections,
+			Map<SettingKey, String> values, List<Problem> problems) {
 		if (setting.defaultText().isPresent()) {
 			values.put(setting, setting.defaultText().get());
 		}
@@ -89,15 +89,15 @@
 		}
 	}
 
-	private static void checkTogether(IniText ini, Map<SettingKey, String> values, List<Problem> problems) {
+	private static void checkCombinations(IniText ini, Map<SettingKey, String> values, List<Problem> problems) {
 		boolean certificate = !values.get(SettingKey.ENTRY_TLS_CERTIFICATE).isEmpty();
 		boolean key = !values.get(SettingKey.ENTRY_TLS_KEY).isEmpty();
 		if (certificate != key) {
 			problems.add(problem(ini, SettingKey.ENTRY_TLS_CERTIFICATE, "goes together with tls-key"));
 		}
 		String inner = values.get(SettingKey.INNER_KEY);
-		if (inner != null && inner.length() < MIN_INNER_KEY) {
-			problems.add(problem(ini, SettingKey.INNER_KEY, "needs " + MIN_INNER_KEY + " characters or more"));
+		if (inner != null && inner.length() < MIN_INNER_KEY_LENGTH) {
+			problems.add(problem(ini, SettingKey.INNER_KEY, "needs " + MIN_INNER_KEY_LENGTH + " characters or more"));
 		}
 		if (!Set.of("otlp", "log", "none").contains(values.get(SettingKey.TRACES_EXPORTER))) {
 			problems.add(problem(ini, SettingKey.TRACES_EXPORTER, "expected otlp, log or none"));
@@ -105,13 +105,13 @@
 		for (SettingKey setting : SettingKey.values()) {
 			String text = values.get(setting);
 			boolean address = setting.type() == SettingType.ADDRESS || setting.type() == SettingType.ADDRESS_LIST;
-			if (address && text != null && !portsInRange(text)) {
+			if (address && text != null && !arePortsInRange(text)) {
 				problems.add(problem(ini, setting, "port above 65535"));
 			}
 		}
 	}
 
-	private static boolean portsInRange(String text) {
+	private static boolean arePortsInRange(String text) {
 		return Arrays.stream(text.split(",")).map(String::strip).allMatch((a) -> portOf(a) <= 65535);
 	}
 
--- a/core/src/test/java/org/acaciacourse/core/settings/SettingKeyTests.java
+++ b/core/src/test/java/org/acaciacourse/core/settings/SettingKeyTests.java
@@ -21,11 +21,12 @@
 		String text = key.defaultText()
 			.map((value) -> (value.isEmpty()) ? "empty" : "`" + value + "`")
 			.orElse("required");
-		return "| `%s.%s` | %s | %s | %s |".formatted(key.section(), key.key(), key.type().form(), text, key.meaning());
+		return "| `%s.%s` | %s | %s | %s |".formatted(key.section(), key.key(), key.type().form(), text,
+				key.description());
 	}
 
 	@Test
-	void thePageListsEverySettingAsTheCodeHasIt() throws IOException {
+	void pageListsEverySettingAsTheEnumHasIt() throws IOException {
 		List<String> rows = Files.readAllLines(PAGE)
 			.stream()
 			.filter((line) -> line.matches("\\| `[a-z-]+\\.[a-z0-9-]+` \\|.*"))
--- a/core/src/test/java/org/acaciacourse/core/settings/SettingsTests.java
+++ b/core/src/test/java/org/acaciacourse/core/settings/SettingsTests.java
@@ -46,7 +46,7 @@
 	class Invalid {
 
 		@Test
-		void reportsUnknownWrongAndMissingTogether() {
+		void reportsUnknownInvalidAndMissingTogether() {
 			String text = VALID.replace("5 s", "5").replace("name = entry-1", "nam = entry-1");
 			List<Problem> problems = Settings.parse(text, SECTIONS).getLeft();
 			assertThat(problems.stream().map(Problem::line)).containsExactly(2, 8, 1);
