--- a/core/src/main/java/org/acaciacourse/core/ini/CommaList.java
+++ b/core/src/main/java/org/acaciacourse/core/ini/CommaList.java
@@ -22,12 +22,12 @@
 	 */
 	public static List<String> split(String text) {
 		List<String> items = new ArrayList<>();
-		int begin = 0;
-		for (int comma = text.indexOf(','); comma >= 0; comma = text.indexOf(',', begin)) {
-			items.add(text.substring(begin, comma).strip());
-			begin = comma + 1;
+		int start = 0;
+		for (int comma = text.indexOf(','); comma >= 0; comma = text.indexOf(',', start)) {
+			items.add(text.substring(start, comma).strip());
+			start = comma + 1;
 		}
-		items.add(text.substring(begin).strip());
+		items.add(text.substring(start).strip());
 		while (!items.isEmpty() && items.get(items.size() - 1).isEmpty()) {
 			items.remove(items.size() - 1);
 		}
--- a/core/src/main/java/org/acaciacourse/core/ini/IniText.java
+++ b/core/src/main/java/org/acaciacourse/core/ini/IniText.java
@@ -39,7 +39,7 @@
 	 * @param text the text
 	 */
 	public IniText(String text) {
-		if (scan(text)) {
+		if (indexLines(text)) {
 			parse(text);
 		}
 	}
@@ -69,30 +69,30 @@
 	 * is there
 	 */
 	public int line(String section, String key) {
-		Integer own = this.lines.get(section + '\n' + key);
-		return (own != null) ? own : this.lines.getOrDefault(section + '\n', 0);
+		Integer keyLine = this.lines.get(section + '\n' + key);
+		return (keyLine != null) ? keyLine : this.lines.getOrDefault(section + '\n', 0);
 	}
 
-	private boolean scan(String text) {
-		List<String> all = text.lines().toList();
+	private boolean indexLines(String text) {
+		List<String> textLines = text.lines().toList();
 		// What follows the last line break is a line too, though it may be empty.
-		int last = (text.endsWith("\n") || text.endsWith("\r")) ? 1 : 0;
-		if (all.size() + last > MAX_LINES) {
+		int trailing = (text.endsWith("\n") || text.endsWith("\r")) ? 1 : 0;
+		if (textLines.size() + trailing > MAX_LINES) {
 			this.problems.add(new Problem(MAX_LINES, "", "", "more than " + MAX_LINES + " lines"));
 			return false;
 		}
 		String section = "";
-		for (int i = 0; i < all.size(); i++) {
-			if (all.get(i).length() > MAX_LINE) {
+		for (int i = 0; i < textLines.size(); i++) {
+			if (textLines.get(i).length() > MAX_LINE) {
 				this.problems.add(new Problem(i + 1, section, "", "line longer than " + MAX_LINE + " characters"));
 				return false;
 			}
-			section = scanLine(all.get(i).strip(), section, i + 1);
+			section = indexLine(textLines.get(i).strip(), section, i + 1);
 		}
 		return this.problems.isEmpty();
 	}
 
-	private String scanLine(String line, String section, int number) {
+	private String indexLine(String line, String section, int number) {
 		if (line.isEmpty() || line.charAt(0) == '#' || line.charAt(0) == ';') {
 			return section;
 		}
@@ -101,7 +101,7 @@
 			if (name.isEmpty()) {
 				this.problems.add(new Problem(number, "", "", "section is not closed or has no name"));
 			}
-			note(name, "", number);
+			recordLine(name, "", number);
 			return name;
 		}
 		int equals = line.indexOf('=');
@@ -112,14 +112,14 @@
 			this.problems.add(new Problem(number, section, "", "expected [section] or key = value"));
 			return section;
 		}
-		note(section, line.substring(0, equals).strip(), number);
+		recordLine(section, line.substring(0, equals).strip(), number);
 		return section;
 	}
 
-	private void note(String section, String key, int number) {
-		Integer before = this.lines.putIfAbsent(section + '\n' + key, number);
-		if (before != null) {
-			this.problems.add(new Problem(number, section, key, "stands already in line " + before));
+	private void recordLine(String section, String key, int number) {
+		Integer firstLine = this.lines.putIfAbsent(section + '\n' + key, number);
+		if (firstLine != null) {
+			this.problems.add(new Problem(number, section, key, "stands already in line " + firstLine));
 		}
 	}
 
@@ -133,7 +133,7 @@
 		config.setInclude(false);
 		config.setPathSeparator('\0');
 		try {
-			IniParser.newInstance(config).parse(new StringReader(text), new Collector());
+			IniParser.newInstance(config).parse(new StringReader(text), new SectionCollector());
 		}
 		catch (InvalidFileFormatException ex) {
 			this.problems.add(new Problem(0, "", "", ex.getMessage()));
@@ -144,7 +144,7 @@
 	}
 
 	/** Gathers what the parser finds. */
-	private final class Collector implements IniHandler {
+	private final class SectionCollector implements IniHandler {
 
 		private SortedMap<String, String> keys;
 
--- a/core/src/main/java/org/acaciacourse/core/ini/Range.java
+++ b/core/src/main/java/org/acaciacourse/core/ini/Range.java
@@ -5,13 +5,13 @@
  * <p>
  * Immutable and thread safe.
  *
- * @param least the least permitted value
- * @param most the greatest permitted value
+ * @param min the least permitted value
+ * @param max the greatest permitted value
  */
-public record Range(double least, double most) {
+public record Range(double min, double max) {
 
 	public Range {
-		if (!(least <= most)) {
+		if (!(min <= max)) {
 			throw new IllegalArgumentException("a range begins before it ends");
 		}
 	}
@@ -22,7 +22,7 @@
 	 * @return whether it may be used; never for one that is no number
 	 */
 	public boolean permits(double value) {
-		return value >= this.least && value <= this.most;
+		return value >= this.min && value <= this.max;
 	}
 
 	/**
@@ -31,7 +31,7 @@
 	 */
 	@Override
 	public String toString() {
-		return "from " + this.least + " to " + this.most;
+		return "from " + this.min + " to " + this.max;
 	}
 
 }
--- a/core/src/main/java/org/acaciacourse/core/ini/TextCursor.java
+++ b/core/src/main/java/org/acaciacourse/core/ini/TextCursor.java
@@ -11,7 +11,7 @@
 
 	private final String text;
 
-	private int at;
+	private int position;
 
 	/**
 	 * Begin to read.
@@ -23,15 +23,16 @@
 
 	/**
 	 * Pass over digits.
-	 * @param most the most digits that are passed over
+	 * @param max the most digits that are passed over
 	 * @return the digits, empty if there are none here
 	 */
-	public String digits(int most) {
-		int begin = this.at;
-		while (this.at < this.text.length() && this.at - begin < most && isDigit(this.text.charAt(this.at))) {
-			this.at++;
+	public String digits(int max) {
+		int start = this.position;
+		while (this.position < this.text.length() && this.position - start < max
+				&& isDigit(this.text.charAt(this.position))) {
+			this.position++;
 		}
-		return this.text.substring(begin, this.at);
+		return this.text.substring(start, this.position);
 	}
 
 	private static boolean isDigit(char c) {
@@ -40,21 +41,21 @@
 
 	/**
 	 * Pass over one of some characters.
-	 * @param any the characters
+	 * @param chars the characters
 	 * @return whether one of them was here
 	 */
-	public boolean pass(String any) {
-		boolean here = this.at < this.text.length() && any.indexOf(this.text.charAt(this.at)) >= 0;
-		this.at += (here) ? 1 : 0;
-		return here;
+	public boolean pass(String chars) {
+		boolean matches = this.position < this.text.length() && chars.indexOf(this.text.charAt(this.position)) >= 0;
+		this.position += (matches) ? 1 : 0;
+		return matches;
 	}
 
 	/**
 	 * Pass over all blanks.
 	 */
 	public void passBlanks() {
-		while (this.at < this.text.length() && Character.isWhitespace(this.text.charAt(this.at))) {
-			this.at++;
+		while (this.position < this.text.length() && Character.isWhitespace(this.text.charAt(this.position))) {
+			this.position++;
 		}
 	}
 
@@ -63,7 +64,7 @@
 	 * @return the rest of the text
 	 */
 	public String rest() {
-		return this.text.substring(this.at);
+		return this.text.substring(this.position);
 	}
 
 }
--- a/core/src/main/java/org/acaciacourse/core/ini/Units.java
+++ b/core/src/main/java/org/acaciacourse/core/ini/Units.java
@@ -11,13 +11,13 @@
  */
 public final class Units {
 
-	private static final int MOST_DIGITS = 9;
+	private static final int MAX_DIGITS = 9;
 
-	private static final int MOST_DECIMALS = 20;
+	private static final int MAX_DECIMALS = 20;
 
-	private static final int MOST_EXPONENT_DIGITS = 2;
+	private static final int MAX_EXPONENT_DIGITS = 2;
 
-	private static final int MOST_SIZE_DIGITS = 9;
+	private static final int MAX_SIZE_DIGITS = 9;
 
 	private Units() {
 	}
@@ -30,16 +30,16 @@
 	 */
 	public static Optional<Duration> duration(String text) {
 		TextCursor cursor = new TextCursor(text.strip());
-		String whole = cursor.digits(MOST_DIGITS);
-		boolean pointed = cursor.pass(".");
-		String fraction = (pointed) ? cursor.digits(MOST_DECIMALS) : "";
+		String whole = cursor.digits(MAX_DIGITS);
+		boolean hasPoint = cursor.pass(".");
+		String fraction = (hasPoint) ? cursor.digits(MAX_DECIMALS) : "";
 		cursor.passBlanks();
 		Optional<Duration> unit = unit(cursor.rest());
-		if (whole.isEmpty() || fraction.isEmpty() == pointed || unit.isEmpty()) {
+		if (whole.isEmpty() || fraction.isEmpty() == hasPoint || unit.isEmpty()) {
 			return Optional.empty();
 		}
 		Duration duration = unit.get().multipliedBy(Long.parseLong(whole));
-		return Optional.of((pointed) ? duration.plusNanos(part(unit.get(), fraction)) : duration);
+		return Optional.of((hasPoint) ? duration.plusNanos(fractionNanos(unit.get(), fraction)) : duration);
 	}
 
 	private static Optional<Duration> unit(String name) {
@@ -52,7 +52,7 @@
 		};
 	}
 
-	private static long part(Duration unit, String decimals) {
+	private static long fractionNanos(Duration unit, String decimals) {
 		return new BigDecimal("0." + decimals).multiply(BigDecimal.valueOf(unit.toNanos())).longValue();
 	}
 
@@ -64,15 +64,15 @@
 	 */
 	public static boolean isDecimal(String text) {
 		TextCursor cursor = new TextCursor(text);
-		boolean sound = !cursor.digits(MOST_DIGITS).isEmpty();
+		boolean valid = !cursor.digits(MAX_DIGITS).isEmpty();
 		if (cursor.pass(".")) {
-			sound &= !cursor.digits(MOST_DECIMALS).isEmpty();
+			valid &= !cursor.digits(MAX_DECIMALS).isEmpty();
 		}
 		if (cursor.pass("eE")) {
 			cursor.pass("+-");
-			sound &= !cursor.digits(MOST_EXPONENT_DIGITS).isEmpty();
+			valid &= !cursor.digits(MAX_EXPONENT_DIGITS).isEmpty();
 		}
-		return sound && cursor.rest().isEmpty();
+		return valid && cursor.rest().isEmpty();
 	}
 
 	/**
@@ -82,7 +82,7 @@
 	 */
 	public static Optional<Long> bytes(String text) {
 		TextCursor cursor = new TextCursor(text.strip());
-		String digits = cursor.digits(MOST_SIZE_DIGITS);
+		String digits = cursor.digits(MAX_SIZE_DIGITS);
 		cursor.passBlanks();
 		if (digits.isEmpty() || digits.charAt(0) == '0') {
 			return Optional.empty();
--- a/core/src/test/java/org/acaciacourse/core/ini/CommaListTests.java
+++ b/core/src/test/java/org/acaciacourse/core/ini/CommaListTests.java
@@ -10,12 +10,12 @@
 class CommaListTests {
 
 	@Test
-	void blanksAroundItemsDoNotCount() {
+	void whitespaceAroundItemsIsStripped() {
 		assertThat(CommaList.split("a,b ,  c\t,d e")).containsExactly("a", "b", "c", "d e").inOrder();
 	}
 
 	@Test
-	void emptyItemsAtTheEndAreLeftOut() {
+	void trailingEmptyItemsAreDropped() {
 		assertThat(CommaList.split(",a,,b,,")).containsExactly("", "a", "", "b").inOrder();
 		assertThat(CommaList.split("")).isEmpty();
 		assertThat(CommaList.split(" , ")).isEmpty();
--- a/core/src/test/java/org/acaciacourse/core/ini/UnitsTests.java
+++ b/core/src/test/java/org/acaciacourse/core/ini/UnitsTests.java
@@ -20,7 +20,7 @@
 
 	@ParameterizedTest
 	@ValueSource(strings = { "", "s", "soon", "-1 s", "1. s", ".5 s", "1,5 s", "1 d", "1e3 s", "1234567890 s" })
-	void otherTextsAreNoDurations(String text) {
+	void otherTextsAreNotDurations(String text) {
 		assertThat(Units.duration(text)).isEqualTo(Optional.empty());
 	}
 
@@ -32,7 +32,7 @@
 
 	@ParameterizedTest
 	@ValueSource(strings = { "", ".5", "1.", "1,5", "-1", "1e", "1e123", "1234567890", "0x1p3", "NaN", "1 " })
-	void otherTextsAreNoDecimalNumbers(String text) {
+	void otherTextsAreNotDecimalNumbers(String text) {
 		assertThat(Units.isDecimal(text)).isFalse();
 	}
 
