--- a/core/src/main/java/org/acaciacourse/core/code/LineBudget.java
+++ b/core/src/main/java/org/acaciacourse/core/code/LineBudget.java
@@ -13,22 +13,22 @@
 
 	private static final long SECOND_NANOS = 1_000_000_000L;
 
-	private final int mostPerSecond;
+	private final int maxPerSecond;
 
-	private long since;
+	private long windowStart;
 
 	private int written;
 
-	private long untold;
+	private long suppressed;
 
 	/**
 	 * Make a budget.
-	 * @param mostPerSecond how many lines are written in a second
+	 * @param maxPerSecond how many lines are written in a second
 	 * @param now the time in nanoseconds
 	 */
-	public LineBudget(int mostPerSecond, long now) {
-		this.mostPerSecond = mostPerSecond;
-		this.since = now;
+	public LineBudget(int maxPerSecond, long now) {
+		this.maxPerSecond = maxPerSecond;
+		this.windowStart = now;
 	}
 
 	/**
@@ -38,18 +38,18 @@
 	 * not to be written either
 	 */
 	public OptionalLong next(long now) {
-		if (now - this.since >= SECOND_NANOS) {
-			this.since = now;
+		if (now - this.windowStart >= SECOND_NANOS) {
+			this.windowStart = now;
 			this.written = 0;
 		}
-		if (this.written >= this.mostPerSecond) {
-			this.untold++;
+		if (this.written >= this.maxPerSecond) {
+			this.suppressed++;
 			return OptionalLong.empty();
 		}
 		this.written++;
-		long before = this.untold;
-		this.untold = 0;
-		return OptionalLong.of(before);
+		long suppressedBefore = this.suppressed;
+		this.suppressed = 0;
+		return OptionalLong.of(suppressedBefore);
 	}
 
 }
--- a/core/src/main/java/org/acaciacourse/core/code/RefusalMerger.java
+++ b/core/src/main/java/org/acaciacourse/core/code/RefusalMerger.java
@@ -17,18 +17,18 @@
 
 	private static final long SECOND_NANOS = 1_000_000_000L;
 
-	private static final int MOST_IDS = 5;
+	private static final int MAX_IDS = 5;
 
-	private final int mostPerSecond;
+	private final int maxPerSecond;
 
-	private final Map<ResultCode, Count> counts = new EnumMap<>(ResultCode.class);
+	private final Map<ResultCode, SecondCount> counts = new EnumMap<>(ResultCode.class);
 
 	/**
 	 * Make a merger.
-	 * @param mostPerSecond how many refusals of a cause are told one by one in a second
+	 * @param maxPerSecond how many refusals of a cause are told one by one in a second
 	 */
-	public RefusalMerger(int mostPerSecond) {
-		this.mostPerSecond = mostPerSecond;
+	public RefusalMerger(int maxPerSecond) {
+		this.maxPerSecond = maxPerSecond;
 	}
 
 	/**
@@ -39,13 +39,13 @@
 	 * @return whether it is to be told by itself
 	 */
 	public boolean tell(ResultCode code, String request, long now) {
-		Count count = this.counts.computeIfAbsent(code, (c) -> new Count(now));
-		if (count.told < this.mostPerSecond) {
-			count.told++;
+		SecondCount count = this.counts.computeIfAbsent(code, (c) -> new SecondCount(now));
+		if (count.logged < this.maxPerSecond) {
+			count.logged++;
 			return true;
 		}
 		count.merged++;
-		if (count.requests.size() < MOST_IDS) {
+		if (count.requests.size() < MAX_IDS) {
 			count.requests.add(request);
 		}
 		return false;
@@ -59,8 +59,8 @@
 	public List<Merged> due(long now) {
 		List<Merged> due = new ArrayList<>();
 		this.counts.entrySet().removeIf((entry) -> {
-			Count count = entry.getValue();
-			if (now - count.since < SECOND_NANOS) {
+			SecondCount count = entry.getValue();
+			if (now - count.start < SECOND_NANOS) {
 				return false;
 			}
 			Optional.of(count)
@@ -87,18 +87,18 @@
 	}
 
 	/** What was counted in a second. */
-	private static final class Count {
+	private static final class SecondCount {
 
-		private final long since;
+		private final long start;
 
 		private final List<String> requests = new ArrayList<>();
 
-		private int told;
+		private int logged;
 
 		private int merged;
 
-		private Count(long since) {
-			this.since = since;
+		private SecondCount(long since) {
+			this.start = since;
 		}
 
 	}
--- a/core/src/test/java/org/acaciacourse/core/code/LineBudgetTests.java
+++ b/core/src/test/java/org/acaciacourse/core/code/LineBudgetTests.java
@@ -25,7 +25,7 @@
 	// Nearly all answers of a burst are late. The line after it tells how many more there
 	// were, once.
 	@Test
-	void lineAfterABurstTellsHowManyWereNotWritten() {
+	void lineAfterABurstReportsHowManyWereSuppressed() {
 		for (int i = 0; i < 10; i++) {
 			this.budget.next(i);
 		}
--- a/core/src/test/java/org/acaciacourse/core/code/RefusalMergerTests.java
+++ b/core/src/test/java/org/acaciacourse/core/code/RefusalMergerTests.java
@@ -13,12 +13,12 @@
 	private final RefusalMerger merger = new RefusalMerger(3);
 
 	@Test
-	void burstOfRefusalsIsToldByItsNumber() {
-		int told = 0;
+	void burstOfRefusalsIsSummarized() {
+		int logged = 0;
 		for (int i = 0; i < 100; i++) {
-			told += (this.merger.tell(ResultCode.NO_ENDPOINT, "r" + i, i)) ? 1 : 0;
+			logged += (this.merger.tell(ResultCode.NO_ENDPOINT, "r" + i, i)) ? 1 : 0;
 		}
-		assertThat(told).isEqualTo(3);
+		assertThat(logged).isEqualTo(3);
 		assertThat(this.merger.due(SECOND / 2)).isEmpty();
 		assertThat(this.merger.due(SECOND)).containsExactly(
 				new RefusalMerger.Merged(ResultCode.NO_ENDPOINT, 97, List.of("r3", "r4", "r5", "r6", "r7")));
@@ -26,7 +26,7 @@
 	}
 
 	@Test
-	void causesAreCountedApart() {
+	void causesAreCountedSeparately() {
 		for (int i = 0; i < 3; i++) {
 			assertThat(this.merger.tell(ResultCode.NO_ENDPOINT, "a", 0)).isTrue();
 			assertThat(this.merger.tell(ResultCode.UNKNOWN_PATH, "b", 0)).isTrue();
