--- a/core/src/main/java/org/acaciacourse/core/measure/RetryWindows.java
+++ b/core/src/main/java/org/acaciacourse/core/measure/RetryWindows.java
@@ -67,16 +67,16 @@
 	public Optional<String> excess() {
 		Collections.sort(this.requests);
 		Collections.sort(this.retries);
-		return this.retries.stream().distinct().flatMap((from) -> excessFrom(from).stream()).findFirst();
+		return this.retries.stream().distinct().flatMap((from) -> violationFrom(from).stream()).findFirst();
 	}
 
-	private Optional<String> excessFrom(long from) {
-		int sent = count(this.retries, from, from + this.windowNanos);
-		int most = Math.max(requestsFrom(from),
+	private Optional<String> violationFrom(long from) {
+		int retried = count(this.retries, from, from + this.windowNanos);
+		int counted = Math.max(requestsFrom(from),
 				Math.max(requestsFrom(from - this.windowNanos / 2), requestsFrom(from - this.windowNanos)));
-		double allowed = this.ratio * most + this.minimum;
-		return (sent > allowed) ? Optional.of("%d retries for %d requests in the window from %d ms, allowed %.1f"
-			.formatted(sent, most, from / 1_000_000, allowed)) : Optional.empty();
+		double allowed = this.ratio * counted + this.minimum;
+		return (retried > allowed) ? Optional.of("%d retries for %d requests in the window from %d ms, allowed %.1f"
+			.formatted(retried, counted, from / 1_000_000, allowed)) : Optional.empty();
 	}
 
 	private int requestsFrom(long from) {
--- a/core/src/main/java/org/acaciacourse/core/measure/WilsonInterval.java
+++ b/core/src/main/java/org/acaciacourse/core/measure/WilsonInterval.java
@@ -28,8 +28,8 @@
 		double share = hits / n;
 		double z2 = Z * Z;
 		double centre = (share + z2 / (2 * n)) / (1 + z2 / n);
-		double half = Z * StrictMath.sqrt(share * (1 - share) / n + z2 / (4 * n * n)) / (1 + z2 / n);
-		return new WilsonInterval(Math.max(0, centre - half), Math.min(1, centre + half));
+		double halfWidth = Z * StrictMath.sqrt(share * (1 - share) / n + z2 / (4 * n * n)) / (1 + z2 / n);
+		return new WilsonInterval(Math.max(0, centre - halfWidth), Math.min(1, centre + halfWidth));
 	}
 
 }
--- a/core/src/test/java/org/acaciacourse/core/measure/WilsonIntervalTests.java
+++ b/core/src/test/java/org/acaciacourse/core/measure/WilsonIntervalTests.java
@@ -10,14 +10,14 @@
 class WilsonIntervalTests {
 
 	@Test
-	void agreesWithTheTextbook() {
+	void agreesWithReferenceValues() {
 		WilsonInterval interval = WilsonInterval.of(81, 263);
 		assertThat(interval.low()).isWithin(1e-4).of(0.2553);
 		assertThat(interval.high()).isWithin(1e-4).of(0.3662);
 	}
 
 	@Test
-	void knowsNothingWithoutSamples() {
+	void isTheWholeRangeWithoutSamples() {
 		assertThat(WilsonInterval.of(0, 0)).isEqualTo(new WilsonInterval(0, 1));
 	}
 
