--- a/core/src/main/java/org/acaciacourse/core/route/CallerLimits.java
+++ b/core/src/main/java/org/acaciacourse/core/route/CallerLimits.java
@@ -3,18 +3,21 @@
 import java.time.Duration;
 
 /**
- * Bounds on what callers send and how long they take.
+ * Limits on the size of requests and on the time that callers take to send them.
  * <p>
  * Immutable and thread safe.
  *
- * @param maxHeaderBytes the largest header section in bytes
- * @param maxBodyBytes the largest body in bytes
- * @param headerTimeout the time in which a header section has to be received
- * @param idleTimeout after which an idle connection is closed
+ * @param maxHeaderBytes the maximum size of a header section in bytes
+ * @param maxBodyBytes the maximum size of a body in bytes
+ * @param headerTimeout the time limit for receiving a header section
+ * @param idleTimeout the time after which an idle connection is closed
  */
 public record CallerLimits(int maxHeaderBytes, int maxBodyBytes, Duration headerTimeout, Duration idleTimeout) {
 
-	/** What holds until a manifest tells: the bounds of the product's own callers. */
+	/**
+	 * The limits until a manifest sets them: those that the product's own callers keep
+	 * to.
+	 */
 	public static final CallerLimits DEFAULT = new CallerLimits(32 * 1024, 8 * 1024 * 1024, Duration.ofSeconds(20),
 			Duration.ofSeconds(90));
 
--- a/core/src/main/java/org/acaciacourse/core/route/FleetEndpoint.java
+++ b/core/src/main/java/org/acaciacourse/core/route/FleetEndpoint.java
@@ -3,17 +3,17 @@
 import java.util.Objects;
 
 /**
- * An endpoint as the platform lists it. Its address may have belonged to another one
- * before, so that a request names the instance it is for.
+ * An endpoint as listed by the platform. Addresses are reused, so a request names the
+ * instance that it is meant for.
  * <p>
  * Immutable and thread safe.
  *
- * @param instance the unique id of this start of the endpoint
+ * @param instance the unique ID of the endpoint, different after each start
  * @param pool the name of its pool
- * @param address IP number and port
- * @param dataCentre where it stands
- * @param slots how many requests it serves at a time
- * @param leaving whether it takes no new request
+ * @param address the IP address and port
+ * @param dataCentre the data centre that it runs in
+ * @param slots the number of requests that it serves concurrently
+ * @param leaving whether it is being removed and accepts no new requests
  */
 public record FleetEndpoint(String instance, String pool, String address, String dataCentre, int slots,
 		boolean leaving) {
--- a/core/src/main/java/org/acaciacourse/core/route/KeyOwner.java
+++ b/core/src/main/java/org/acaciacourse/core/route/KeyOwner.java
@@ -5,13 +5,14 @@
 import java.util.OptionalInt;
 
 /**
- * A customer as routes see it: the keys that its requests carry.
+ * A customer as seen by routing: the keys that its requests carry and their priority.
  * <p>
- * Immutable and thread safe. The keys are never printed.
+ * Immutable and thread safe. The string form omits the keys, which are secret.
  *
  * @param customer the name of the customer
  * @param keys its keys
- * @param priority the rank of its requests, which goes before their route's
+ * @param priority the priority of its requests, which takes precedence over their
+ * route's; empty if the route's applies
  */
 public record KeyOwner(String customer, List<String> keys, OptionalInt priority) {
 
--- a/core/src/main/java/org/acaciacourse/core/route/Pool.java
+++ b/core/src/main/java/org/acaciacourse/core/route/Pool.java
@@ -8,9 +8,10 @@
  * Immutable and thread safe.
  *
  * @param name the name
- * @param maxConnections how many connections one of its endpoints takes from all callers
- * together
- * @param engineTokens the tokens that an endpoint's memory holds, 0 for a plain service
+ * @param maxConnections the maximum number of connections that one of its endpoints
+ * accepts in total
+ * @param engineTokens the capacity of an engine's KV cache in tokens, 0 for a plain
+ * service
  */
 public record Pool(String name, int maxConnections, long engineTokens) {
 
@@ -22,8 +23,8 @@
 	}
 
 	/**
-	 * Return whether its endpoints are model engines.
-	 * @return whether they have a memory for tokens
+	 * Return whether its endpoints are inference engines.
+	 * @return whether they have a KV cache
 	 */
 	public boolean isEngine() {
 		return this.engineTokens > 0;
--- a/core/src/main/java/org/acaciacourse/core/route/RequestKind.java
+++ b/core/src/main/java/org/acaciacourse/core/route/RequestKind.java
@@ -4,20 +4,21 @@
 import java.util.Optional;
 
 /**
- * What a repeat of a request does, as its route declares it.
+ * Whether the requests of a route may be repeated, as the manifest declares it.
  * <p>
  * Immutable and thread safe.
  */
 public enum RequestKind {
 
-	/** May run any number of times. */
+	/** May be run any number of times. */
 	SAFE("safe"),
 
-	/** Runs at most once for each request that a caller sends. */
+	/** Must run at most once for each request that a caller sends. */
 	UNSAFE("unsafe"),
 
 	/**
-	 * Answered by a stream of events; runs at most once unless its route can resume it.
+	 * Answered with a stream of events; must run at most once unless the route is
+	 * resumable.
 	 */
 	STREAM("stream");
 
@@ -28,8 +29,8 @@
 	}
 
 	/**
-	 * Find a kind by its word in a manifest.
-	 * @param label the word
+	 * Find a kind by its label in a manifest.
+	 * @param label the label
 	 * @return the kind, if there is one
 	 */
 	public static Optional<RequestKind> ofLabel(String label) {
@@ -37,7 +38,7 @@
 	}
 
 	/**
-	 * Return the word used in manifests and metrics.
+	 * Return the label used in manifests and metrics.
 	 * @return the label
 	 */
 	public String label() {
@@ -45,9 +46,9 @@
 	}
 
 	/**
-	 * Return whether a request may run again although it may have run before.
+	 * Return whether a request may be run again when it may already have run.
 	 * @param resumable whether its route resumes broken streams
-	 * @return whether a repeat is harmless
+	 * @return whether a repeat has no further effect
 	 */
 	public boolean isIdempotent(boolean resumable) {
 		return this == SAFE || (this == STREAM && resumable);
--- a/core/src/main/java/org/acaciacourse/core/route/Route.java
+++ b/core/src/main/java/org/acaciacourse/core/route/Route.java
@@ -5,23 +5,25 @@
 import java.util.Objects;
 
 /**
- * A route: which requests it takes and how they are served.
+ * A route: the requests that it matches and how they are served.
  * <p>
- * Immutable and thread safe. The weights add up to more than 0.
+ * Immutable and thread safe. Invariant: the weights of the shares add up to more than 0.
  *
  * @param name the name
- * @param host the host that it belongs to, in lower case
- * @param pathPrefix the prefix of the paths it takes, begins and ends with a slash
- * @param kind what a repeat does
- * @param resumable whether a broken stream can go on at another endpoint
- * @param timeout the longest time that a caller is kept waiting for the end of its answer
- * @param target the time to the first event, or to the whole answer, that is aimed for
- * @param eventGap the longest pause between events that is aimed for, zero for none
- * @param priority the rank of its requests, 0 is the highest
- * @param shares the pools that serve it
- * @param maxAttempts how many endpoints a request may be sent to
+ * @param host the host name that it matches, in lower case
+ * @param pathPrefix the prefix of the paths that it matches, beginning and ending with a
+ * slash
+ * @param kind whether its requests may be repeated
+ * @param resumable whether a broken stream can be resumed at another endpoint
+ * @param timeout the longest time that a caller waits for the end of its response
+ * @param target the target for the time to the first event, or to the complete response
+ * @param eventGap the target for the longest pause between events, zero for none
+ * @param priority the priority of its requests, 0 is the highest
+ * @param shares the pools that serve it, with their weights
+ * @param maxAttempts the maximum number of endpoints that a request is sent to
  * @param anonymous whether it is served without a customer's key
- * @param affinity whether requests that share a prompt prefix belong on one endpoint
+ * @param affinity whether requests that share a prompt prefix should go to the same
+ * endpoint
  */
 public record Route(String name, String host, String pathPrefix, RequestKind kind, boolean resumable, Duration timeout,
 		Duration target, Duration eventGap, int priority, List<PoolShare> shares, int maxAttempts, boolean anonymous,
@@ -42,16 +44,16 @@
 	}
 
 	/**
-	 * Return whether its requests may run again although they may have run before.
-	 * @return whether a repeat is harmless
+	 * Return whether its requests may be run again when they may already have run.
+	 * @return whether a repeat has no further effect
 	 */
 	public boolean isIdempotent() {
 		return this.kind.isIdempotent(this.resumable);
 	}
 
 	/**
-	 * Choose the pool of a request by its weight.
-	 * @param hash a hash that is spread evenly over the requests
+	 * Select the pool of a request according to the weights.
+	 * @param hash a hash of the request, uniformly distributed
 	 * @return the name of the pool
 	 */
 	public String pool(long hash) {
--- a/core/src/main/java/org/acaciacourse/core/route/RouteTable.java
+++ b/core/src/main/java/org/acaciacourse/core/route/RouteTable.java
@@ -11,8 +11,9 @@
 import java.util.stream.Stream;
 
 /**
- * The checked routes of one manifest with what they refer to. Invariants: no two routes
- * share host and prefix, every pool that a route names exists, no key has two owners.
+ * The validated routes of one manifest, with the pools and customers that they refer to.
+ * Invariants: no two routes have the same host and prefix, every pool that a route names
+ * exists, and no key belongs to two customers.
  * <p>
  * Immutable and thread safe.
  */
@@ -38,7 +39,7 @@
 		routes.forEach((route) -> this.byHost.computeIfAbsent(route.host(), (host) -> new HashMap<>())
 			.put(route.pathPrefix(), route));
 		pools.forEach((pool) -> this.pools.put(pool.name(), pool));
-		// A customer without any key is one that lost them all, not one that needs none.
+		// A customer without keys had all of them revoked; its requests still need a key.
 		this.hasCustomers = !owners.isEmpty();
 		owners.forEach((owner) -> owner.keys().forEach((key) -> this.owners.put(key, owner)));
 		this.urgencyScale = new UrgencyScale(routes, owners);
@@ -53,7 +54,7 @@
 	}
 
 	/**
-	 * Return the bounds on callers.
+	 * Return the limits on requests of callers.
 	 * @return the limits
 	 */
 	public CallerLimits limits() {
@@ -61,9 +62,10 @@
 	}
 
 	/**
-	 * Find the route of a request: of those of its host the one with the longest prefix.
-	 * A prefix ends with a slash, so that only the slashes of the path are tried.
-	 * @param host the host that the caller names, a port in it does not count
+	 * Find the route of a request: the one with the longest matching prefix among the
+	 * routes of its host. Prefixes end with a slash, so only the parts of the path that
+	 * end with a slash are looked up.
+	 * @param host the host of the request, any port in it is ignored
 	 * @param path the path without the query
 	 * @return the route, if there is one
 	 */
@@ -88,7 +90,7 @@
 	}
 
 	/**
-	 * Find the owner of a key.
+	 * Find the customer that a key belongs to.
 	 * @param key the key
 	 * @return the customer, if the key is known
 	 */
@@ -97,7 +99,8 @@
 	}
 
 	/**
-	 * Return the rank of a request: its customer's priority goes before its route's.
+	 * Return the rank of a request. Its customer's priority takes precedence over its
+	 * route's.
 	 * @param route its route, one of this table
 	 * @param owner its customer, one of this table, if there is any
 	 * @return 0 for the highest, at most 9
@@ -107,9 +110,9 @@
 	}
 
 	/**
-	 * Return the priority of a request, its customer's or else its route's, without the
-	 * order of the routes of equal customers that {@link #urgency(Route, Optional)}
-	 * makes.
+	 * Return the priority of a request: its customer's, or its route's if the customer
+	 * has none. Unlike {@link #urgency(Route, Optional)}, it does not order the routes of
+	 * customers with equal priority.
 	 * @param route its route
 	 * @param owner its customer, if there is any
 	 * @return 0 for the highest, at most 9
@@ -119,10 +122,11 @@
 	}
 
 	/**
-	 * Return the rank of a request that its target passes in any case.
+	 * Return the rank of a request that will miss its target in any case.
 	 * @param route its route, one of this table
 	 * @param owner its customer, one of this table, if there is any
-	 * @return the rank, if no route of its pools is less urgent
+	 * @return the rank, empty if no rank is left for such requests or a route of its
+	 * pools is less urgent
 	 */
 	public OptionalInt deferredUrgency(Route route, Optional<KeyOwner> owner) {
 		return this.urgencyScale.deferredRank(route, owner);
@@ -130,7 +134,7 @@
 
 	/**
 	 * Return whether requests need a customer's key.
-	 * @return whether there is any customer
+	 * @return whether the table has any customers
 	 */
 	public boolean isKeyed() {
 		return this.hasCustomers;
@@ -146,18 +150,18 @@
 	}
 
 	/**
-	 * Find the shortest target of the routes to a pool.
+	 * Find the shortest latency target of the routes to a pool.
 	 * @param pool the name of the pool
-	 * @return the target, if any route leads there
+	 * @return the target, empty if no route leads to the pool
 	 */
 	public Optional<Duration> shortestTarget(String pool) {
 		return routesTo(pool).map(Route::target).min(Duration::compareTo);
 	}
 
 	/**
-	 * Find the shortest pause between events that a route to a pool aims for.
+	 * Find the shortest event gap target of the routes to a pool.
 	 * @param pool the name of the pool
-	 * @return the pause, if any route there aims for one
+	 * @return the gap, empty if no route to the pool has such a target
 	 */
 	public Optional<Duration> shortestGap(String pool) {
 		return routesTo(pool).map(Route::eventGap).filter((gap) -> !gap.isZero()).min(Duration::compareTo);
--- a/core/src/main/java/org/acaciacourse/core/route/RouteTableParser.java
+++ b/core/src/main/java/org/acaciacourse/core/route/RouteTableParser.java
@@ -20,32 +20,34 @@
 import org.acaciacourse.core.manifest.ManifestDocument;
 
 /**
- * Turns a routing manifest into a checked {@link RouteTable}. A routing manifest has the
- * section {@code [routing]} where one for chat requests has {@code [manifest]}. Every
- * problem is reported; a manifest with any problem is not used at all. A key
- * {@code annotation} may stand in every section and is passed over: the pipeline that
- * wrote the manifest keeps there what it needs to read its own form back.
+ * Parses and validates a routing manifest into a {@link RouteTable}. A routing manifest
+ * has the section {@code [routing]} instead of the {@code [manifest]} of manifests for
+ * chat requests. All problems are reported together, and a manifest with any problem is
+ * rejected as a whole. The key {@code annotation} is allowed in every section and
+ * ignored: the pipeline that writes the manifest stores in it what it needs to restore
+ * its own format.
  * <p>
- * What stands in sections that did not change is taken over from the table before, so
- * that a small change to a large manifest stays cheap.
+ * Elements of unchanged sections are reused from the previous table, so that a small
+ * change to a large manifest stays cheap.
  * <p>
- * Not thread safe: keeps the last table and belongs to the thread that follows changes.
+ * Not thread safe: keeps the elements of the last table and is confined to the thread
+ * that applies manifest changes.
  */
 public final class RouteTableParser {
 
-	/** The section that makes a manifest one of routes. */
+	/** The name of the section that marks a routing manifest. */
 	public static final String ROUTING = "routing";
 
-	/** The kind of the sections of routes. */
+	/** The name prefix of the sections of routes. */
 	public static final String ROUTE = "route ";
 
-	/** The kind of the sections of pools. */
+	/** The name prefix of the sections of pools. */
 	public static final String POOL = "pool ";
 
-	/** The kind of the sections of customers. */
+	/** The name prefix of the sections of customers. */
 	public static final String CUSTOMER = "customer ";
 
-	/** The key that is passed over. */
+	/** The key that is ignored. */
 	public static final String ANNOTATION = "annotation";
 
 	private ManifestDocument previousDocument = ManifestDocument.empty();
@@ -57,16 +59,16 @@
 	/**
 	 * Return whether a document is a routing manifest.
 	 * @param document the document
-	 * @return whether this parser is the one for it
+	 * @return whether it has a routing section
 	 */
 	public static boolean isRouting(ManifestDocument document) {
 		return document.contains(ROUTING);
 	}
 
 	/**
-	 * Check a document and make a table of it.
+	 * Validate a document and build a table from it.
 	 * @param document the document
-	 * @return the table, or everything that is wrong with it
+	 * @return the table, or all problems found
 	 */
 	public Either<List<Problem>, RouteTable> parse(ManifestDocument document) {
 		this.problems = new ArrayList<>();
@@ -93,7 +95,8 @@
 			SortedMap<String, SortedMap<String, String>> sections, BiFunction<String, SectionReader, T> parser,
 			Map<String, Object> elements, Class<T> type) {
 		List<T> parsed = new ArrayList<>();
-		// An exclamation mark follows a blank: the range holds the sections of this kind.
+		// '!' is the character after the space, so the range holds just the names with
+		// this prefix.
 		String end = prefix.strip() + "!";
 		sections.subMap(prefix, end).forEach((name, keys) -> {
 			Object previous = (this.previousDocument.sharesSection(name, document)) ? this.previousElements.get(name)
@@ -208,7 +211,7 @@
 		this.problems.add(new Problem(0, section, key, text));
 	}
 
-	/** Reads one section and notes what is wrong with it. */
+	/** Reads the values of one section and records the problems found. */
 	private final class SectionReader {
 
 		private final String name;
@@ -266,7 +269,7 @@
 				}
 			}
 			catch (NumberFormatException ex) {
-				// Reported below like a number out of range.
+				// Reported below, like a number out of range.
 			}
 			addProblem(key, "expected a whole number from " + min + " to " + max);
 			return defaultValue;
--- a/core/src/main/java/org/acaciacourse/core/route/UrgencyScale.java
+++ b/core/src/main/java/org/acaciacourse/core/route/UrgencyScale.java
@@ -12,28 +12,34 @@
 import java.util.stream.IntStream;
 
 /**
- * The order of the requests of one table, as the few ranks that endpoints understand. A
- * customer's priority goes before its route's, and the route's decides between requests
- * of equal customers. Where all customers have the same priority, as most have, engines
- * would otherwise serve in the order of arrival, and a short prompt with a target of 400
- * ms waits for seconds behind long ones that may take longer.
+ * Maps the priorities of the requests of one table to the few ranks that endpoints
+ * distinguish. The customer's priority takes precedence over the route's, and the route's
+ * orders the requests of customers with equal priority. Where all customers have the same
+ * priority, as is common, engines would otherwise serve requests in the order of arrival,
+ * and a short prompt with a target of 400 ms would wait for seconds behind long ones with
+ * longer targets.
  * <p>
- * A rank is the position of the two priorities among all pairs that the table can yield,
- * so that levels which nobody uses take no rank. With more pairs than ranks neighbours
- * share one. Invariant: a request that goes before another one has no higher rank.
+ * A rank is the position of a pair of priorities in the sorted list of all pairs that can
+ * occur in the table, so that unused priorities take no rank. If there are more pairs
+ * than ranks, neighbouring pairs share a rank. Invariant: a request that takes precedence
+ * over another one does not have a numerically higher rank.
  * <p>
- * What is late in any case has a rank of its own behind its equals if all pairs then
- * still have one. Only pairs that occur are counted: with one anonymous route beside
- * customers of one priority the product of all levels would leave no rank for it.
+ * Deferred requests, which will miss their target in any case, get a rank behind the
+ * other requests of the same customer priority, provided that every pair still gets a
+ * rank of its own. Only pairs that can occur are counted: with one anonymous route and
+ * all customers of one priority, the product of all priority levels would leave no rank
+ * for deferred requests.
  * <p>
  * Immutable and thread safe.
  */
 final class UrgencyScale {
 
-	/** The ranks that an endpoint tells apart, 0 is the highest. */
+	/** The number of ranks that an endpoint distinguishes, 0 is the highest. */
 	static final int RANKS = 10;
 
-	/** In place of a route's priority: behind all of them. */
+	/**
+	 * Replaces the route's priority for deferred requests and sorts behind all routes.
+	 */
 	private static final long DEFERRED = Integer.MAX_VALUE;
 
 	private final Map<String, Integer> leastUrgentByPool = new HashMap<>();
@@ -43,14 +49,14 @@
 	private final boolean hasDeferredRanks;
 
 	/**
-	 * Make the scale of a table.
+	 * Create the scale of a table.
 	 * @param routes the routes
 	 * @param owners the customers
 	 */
 	UrgencyScale(Collection<Route> routes, Collection<KeyOwner> owners) {
 		routes.forEach((route) -> route.shares()
 			.forEach((share) -> this.leastUrgentByPool.merge(share.pool(), route.priority(), Math::max)));
-		// Thousands of customers have a few priorities.
+		// Thousands of customers share a few priorities.
 		List<OptionalInt> declaredPriorities = owners.stream().map(KeyOwner::priority).distinct().toList();
 		NavigableSet<Long> regular = new TreeSet<>();
 		routes.forEach((route) -> customerPriorities(route, declaredPriorities)
@@ -64,32 +70,35 @@
 		this.pairs = List.copyOf((this.hasDeferredRanks) ? withDeferred : regular);
 	}
 
-	// Requests of other pools wait at other endpoints.
+	// Only routes of the same pools count: requests of other pools wait at other
+	// endpoints.
 	private boolean isLeastUrgent(Route route) {
 		return route.shares()
 			.stream()
 			.allMatch((share) -> this.leastUrgentByPool.get(share.pool()) == route.priority());
 	}
 
-	// The priorities that requests of a route can have by their customers.
+	// The customer priorities that requests of a route can have. Anonymous requests and
+	// customers without a priority have that of the route.
 	private static IntStream customerPriorities(Route route, List<OptionalInt> declaredPriorities) {
 		IntStream declared = declaredPriorities.stream().mapToInt((priority) -> priority.orElse(route.priority()));
 		boolean anonymous = declaredPriorities.isEmpty() || route.anonymous();
 		return (anonymous) ? IntStream.concat(declared, IntStream.of(route.priority())) : declared;
 	}
 
-	// Pairs are ordered by the first number, then by the second one.
+	// Encodes a pair so that it sorts by the customer's priority, then by the route's.
 	private static long pair(int customerPriority, long routePriority) {
 		return ((long) customerPriority << Integer.SIZE) + routePriority;
 	}
 
 	/**
-	 * Return the rank of a request that its target passes in any case. It lies below all
-	 * requests of equal customers and above those of customers with a lower priority.
+	 * Return the rank of a deferred request, which will miss its target in any case. It
+	 * lies behind all other requests of customers with the same priority and before those
+	 * of customers with a lower priority.
 	 * @param route its route, one of the table
 	 * @param owner its customer, one of the table, if there is any
-	 * @return the rank, if there is one to spare and no route of its pools is less
-	 * urgent: a less urgent request would go before it
+	 * @return the rank, empty if no rank is left or a route of its pools is less urgent:
+	 * the requests of that route would be served before it
 	 */
 	OptionalInt deferredRank(Route route, Optional<KeyOwner> owner) {
 		return (this.hasDeferredRanks && isLeastUrgent(route))
--- a/core/src/main/java/org/acaciacourse/core/route/package-info.java
+++ b/core/src/main/java/org/acaciacourse/core/route/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Routes of plain HTTP requests to endpoint pools: the checked table, its parser, and the
- * fleet that serves it.
+ * Routing of plain HTTP requests to endpoint pools: the validated route table, its
+ * parser, and the fleet of endpoints that serves it.
  */
 package org.acaciacourse.core.route;
--- a/core/src/test/java/org/acaciacourse/core/route/RouteTableParserTests.java
+++ b/core/src/test/java/org/acaciacourse/core/route/RouteTableParserTests.java
@@ -123,8 +123,9 @@
 			assertThat(parse().get().owner("k3")).isEqualTo(Optional.empty());
 		}
 
-		// A customer that lost all its keys is refused. Were the table taken for one
-		// without customers, everybody would be served.
+		// Requests are refused when the keys of the only customer have been revoked. If
+		// the table counted as one without customers, it would serve requests without any
+		// key.
 		@Test
 		void customerWithoutKeysStillRequiresAKey() {
 			section("customer bank", "keys", "");
--- a/core/src/test/java/org/acaciacourse/core/route/UrgencyScaleTests.java
+++ b/core/src/test/java/org/acaciacourse/core/route/UrgencyScaleTests.java
@@ -41,10 +41,10 @@
 		private final List<Route> routes = List.of(route(0), route(1), route(2));
 
 		/*
-		 * In a burst of long prompts with a target of 1.5 s, short ones with one of 400
-		 * ms wait behind them at all engines and get nothing: engines admit the more
-		 * urgent first, but all were of one rank, as each customer has the same priority
-		 * and that went in the place of the route's.
+		 * Guards against short prompts (target 400 ms) starving behind a burst of long
+		 * ones (target 1.5 s) at all engines. Engines admit the more urgent requests
+		 * first, but all requests had the same rank, because all customers have the same
+		 * priority and it replaced the route's.
 		 */
 		@Test
 		void routesOfEqualCustomersGetDistinctRanks() {
@@ -83,8 +83,9 @@
 
 	}
 
-	// Of the least urgent kind those that are late in any case wait behind those that can
-	// still be in time, but before what customers of a lower priority send.
+	// Of the least urgent routes, requests that will miss their target in any case wait
+	// behind those that can still meet it, but before those of customers with a lower
+	// priority.
 	@Nested
 	class Deferred {
 
@@ -104,9 +105,10 @@
 		}
 
 		/*
-		 * All customers have one priority and one route may be used without a key. In a
-		 * burst all long prompts came late, none was set behind: the levels that only
-		 * anonymous requests have were multiplied by all routes and left no rank.
+		 * All customers have the same priority and one route is anonymous. Guards against
+		 * a burst in which all long prompts missed their target because none was
+		 * deferred: the priorities that only anonymous requests have were multiplied by
+		 * all routes, which left no rank for deferred requests.
 		 */
 		@Test
 		void anonymousRoutesLeaveRoomForDeferredRanks() {
@@ -121,8 +123,9 @@
 		}
 
 		/*
-		 * The calls of a plain service are less urgent than any prompt. They wait
-		 * elsewhere: prompts that are late must not go before others for their sake.
+		 * The calls of a plain service are less urgent than any prompt, but wait at other
+		 * endpoints. They must not keep late prompts from being deferred behind other
+		 * prompts.
 		 */
 		@Test
 		void routesOfOtherPoolsDoNotCount() {
@@ -144,9 +147,9 @@
 	class ManyLevels {
 
 		/*
-		 * Three priorities of customers and three of routes fill nine of the ten ranks. A
-		 * rank for what is late would make two kinds share one: the short prompts of the
-		 * first customers would wait behind longer ones again.
+		 * Three customer priorities and three route priorities fill nine of the ten
+		 * ranks. Ranks for deferred requests would make two pairs share one, and short
+		 * prompts of the first customers would wait behind longer ones again.
 		 */
 		@Test
 		void pairsThatFitGetDistinctRanksWithoutDeferredRanks() {
@@ -161,7 +164,8 @@
 		}
 
 		/*
-		 * Seven priorities of customers and eight of routes make more pairs than ranks.
+		 * Seven customer priorities and eight route priorities make more pairs than
+		 * ranks.
 		 */
 		@Test
 		void ranksStayWithinTheBoundAndInOrder() {
