--- a/core/src/test/java/org/acaciacourse/core/PurityTests.java
+++ b/core/src/test/java/org/acaciacourse/core/PurityTests.java
@@ -7,8 +7,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Holds the core free of I/O, threads and clocks, so that each decision runs in virtual
- * time.
+ * Checks that the core uses no I/O, threads or clocks, so that every decision can run in
+ * virtual time.
  */
 class PurityTests {
 
