--- a/core/src/main/java/org/acaciacourse/core/manifest/ManifestParser.java
+++ b/core/src/main/java/org/acaciacourse/core/manifest/ManifestParser.java
@@ -99,13 +99,13 @@
 	 * change is taken from the manifest before, so that a small change to a large
 	 * manifest stays cheap.
 	 * @param document the document
-	 * @param before the manifest before
-	 * @param documentBefore the document that it was made of
+	 * @param previousManifest the manifest before
+	 * @param previousDocument the document that it was made of
 	 * @return the manifest, or everything that is wrong with it
 	 */
-	public static Either<List<Problem>, Manifest> manifest(ManifestDocument document, Manifest before,
-			ManifestDocument documentBefore) {
-		Previous previous = new Previous(before, documentBefore);
+	public static Either<List<Problem>, Manifest> manifest(ManifestDocument document, Manifest previousManifest,
+			ManifestDocument previousDocument) {
+		Previous previous = new Previous(previousManifest, previousDocument);
 		return new ManifestParser(document, (section, key) -> 0, Optional.of(previous)).parse();
 	}
 
