--- a/core/src/main/java/org/acaciacourse/core/settings/SettingType.java
+++ b/core/src/main/java/org/acaciacourse/core/settings/SettingType.java
@@ -39,12 +39,12 @@
 
 	private static final String ADDRESS_PATTERN = "([0-9]{1,3}(\\.[0-9]{1,3}){3}|\\[[0-9a-fA-F:]+\\]):[0-9]{1,5}";
 
-	private final String form;
+	private final String format;
 
 	private final Pattern pattern;
 
-	SettingType(String form, String pattern) {
-		this.form = form;
+	SettingType(String format, String pattern) {
+		this.format = format;
 		this.pattern = Pattern.compile(pattern);
 	}
 
@@ -57,15 +57,15 @@
 		if (this.pattern.matcher(text).matches()) {
 			return Optional.empty();
 		}
-		return Optional.of("expected " + this.form);
+		return Optional.of("expected " + this.format);
 	}
 
 	/**
 	 * Return how a value is written.
 	 * @return the form
 	 */
-	public String form() {
-		return this.form;
+	public String format() {
+		return this.format;
 	}
 
 }
--- a/core/src/test/java/org/acaciacourse/core/settings/SettingKeyTests.java
+++ b/core/src/test/java/org/acaciacourse/core/settings/SettingKeyTests.java
@@ -21,7 +21,7 @@
 		String text = key.defaultText()
 			.map((value) -> (value.isEmpty()) ? "empty" : "`" + value + "`")
 			.orElse("required");
-		return "| `%s.%s` | %s | %s | %s |".formatted(key.section(), key.key(), key.type().form(), text,
+		return "| `%s.%s` | %s | %s | %s |".formatted(key.section(), key.key(), key.type().format(), text,
 				key.description());
 	}
 
