--- a/core/src/main/java/org/acaciacourse/core/measure/WilsonInterval.java
+++ b/core/src/main/java/org/acaciacourse/core/measure/WilsonInterval.java
@@ -16,19 +16,19 @@
 
 	/**
 	 * Return the interval of a share.
-	 * @param hits how many samples count
+	 * @param successes how many samples count
 	 * @param samples how many samples there are
 	 * @return the interval, the whole range if there is no sample
 	 */
-	public static WilsonInterval of(long hits, long samples) {
+	public static WilsonInterval of(long successes, long samples) {
 		if (samples == 0) {
 			return new WilsonInterval(0, 1);
 		}
 		double n = samples;
-		double share = hits / n;
+		double proportion = successes / n;
 		double z2 = Z * Z;
-		double centre = (share + z2 / (2 * n)) / (1 + z2 / n);
-		double halfWidth = Z * StrictMath.sqrt(share * (1 - share) / n + z2 / (4 * n * n)) / (1 + z2 / n);
+		double centre = (proportion + z2 / (2 * n)) / (1 + z2 / n);
+		double halfWidth = Z * StrictMath.sqrt(proportion * (1 - proportion) / n + z2 / (4 * n * n)) / (1 + z2 / n);
 		return new WilsonInterval(Math.max(0, centre - halfWidth), Math.min(1, centre + halfWidth));
 	}
 
