--- a/core/src/main/java/org/acaciacourse/core/manifest/ManifestDelta.java
+++ b/core/src/main/java/org/acaciacourse/core/manifest/ManifestDelta.java
@@ -11,7 +11,7 @@
  * Immutable and thread safe.
  *
  * @param changed the new content of each section that was added or changed
- * @param removed the names of the sections that are gone
+ * @param removed the names of the sections that were removed
  */
 public record ManifestDelta(SortedMap<String, SortedMap<String, String>> changed, Set<String> removed) {
 
--- a/core/src/main/java/org/acaciacourse/core/manifest/ManifestDocument.java
+++ b/core/src/main/java/org/acaciacourse/core/manifest/ManifestDocument.java
@@ -14,14 +14,14 @@
 import net.openhft.hashing.LongHashFunction;
 
 /**
- * The sections of a manifest as text, in canonical order. This is what is replicated,
- * digested and sent as deltas; {@link ManifestParser} turns it into a checked manifest.
+ * The sections of a manifest as text, in canonical order. Documents are replicated,
+ * digested and sent as deltas; {@link ManifestParser} parses and validates them.
  * <p>
- * Documents that follow from one another share the sections that did not change, with
- * their digests: a change costs by the size of the change and not of the document. A
- * digest is made when it is asked for: an entry that has just started takes the whole
- * document as the control VM tells it, and its first digest alone, in code that runs for
- * the first time, takes 30 to 50 ms.
+ * A document made from another one by a delta shares its unchanged sections and their
+ * digests, so the cost of a change depends on the size of the change and not on that of
+ * the document. Digests are computed on demand: an entry VM that has just started accepts
+ * the whole document as sent by the control VM, and the first digest alone would take it
+ * 30 to 50 ms, because the code runs for the first time.
  * <p>
  * Immutable and thread safe.
  */
@@ -38,7 +38,7 @@
 	private final Lazy<Long> checksum;
 
 	/**
-	 * Make a document.
+	 * Create a document.
 	 * @param sections the keys and values of each section by section name
 	 */
 	public ManifestDocument(Map<String, ? extends Map<String, String>> sections) {
@@ -58,7 +58,7 @@
 	}
 
 	/**
-	 * Return a document without sections, which precedes every manifest.
+	 * Return the document without sections, the state before the first manifest.
 	 * @return the empty document
 	 */
 	public static ManifestDocument empty() {
@@ -85,19 +85,19 @@
 	}
 
 	/**
-	 * Return whether there is a section.
+	 * Return whether the document has a section.
 	 * @param name the name of the section
-	 * @return whether it is there
+	 * @return whether it exists
 	 */
 	public boolean contains(String name) {
 		return this.sections.containsKey(name);
 	}
 
 	/**
-	 * Return whether a section stands in both documents with the same content.
+	 * Return whether both documents have a section with the same content.
 	 * @param name the name of the section
 	 * @param other the other document
-	 * @return whether nothing of the section differs
+	 * @return whether the section exists in both and is equal
 	 */
 	public boolean sharesSection(String name, ManifestDocument other) {
 		Section section = this.sections.get(name);
@@ -105,8 +105,8 @@
 	}
 
 	/**
-	 * Return SHA-256 over the SHA-256 of each section's canonical form: equal sections
-	 * give equal digests, whatever the order and spacing of the file was.
+	 * Return the SHA-256 over the SHA-256 of each section's canonical form. Equal
+	 * sections have equal digests, regardless of the order and spacing in the file.
 	 * @return the digest in lower-case hexadecimal digits
 	 */
 	public String digest() {
@@ -114,8 +114,9 @@
 	}
 
 	/**
-	 * Return XXH3 over all sections, by which a copy of the whole is checked where a
-	 * digest would take too long. Documents are told apart by their digests.
+	 * Return the XXH3 hash over all sections, which verifies a copy of the document where
+	 * computing the digest would take too long. Documents are identified by their
+	 * digests, not by this checksum.
 	 * @return the checksum
 	 */
 	public long checksum() {
@@ -135,7 +136,7 @@
 	}
 
 	/**
-	 * Work out what turns this document into another.
+	 * Compute the delta from this document to another.
 	 * @param next the other document
 	 * @return the sections that differ
 	 */
@@ -193,7 +194,7 @@
 		}
 	}
 
-	/** A section with its digest, made when it is asked for. */
+	/** A section with its digest, computed on demand. */
 	private static final class Section {
 
 		private final SortedMap<String, String> keys;
@@ -215,7 +216,8 @@
 			return sha.digest();
 		}
 
-		// The length goes before each text, so that no two sections look alike.
+		// Each text is prefixed with its length, so that different sections never have
+		// the same byte form.
 		private static void update(MessageDigest sha, String text) {
 			byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
 			for (int shift = 24; shift >= 0; shift -= 8) {
--- a/core/src/main/java/org/acaciacourse/core/manifest/ManifestParser.java
+++ b/core/src/main/java/org/acaciacourse/core/manifest/ManifestParser.java
@@ -33,10 +33,10 @@
 import org.acaciacourse.core.model.Tier;
 
 /**
- * Turns a manifest document into a checked manifest. Every problem is reported with
- * section, key and line; a manifest with any problem is not used at all.
+ * Parses and validates manifests. All problems are reported together, each with section,
+ * key and line; a manifest with any problem is rejected as a whole.
  * <p>
- * Not thread safe: made for one document and used once.
+ * Not thread safe: created for one document and used once.
  */
 public final class ManifestParser {
 
@@ -72,9 +72,9 @@
 	}
 
 	/**
-	 * Read the text of a manifest file.
+	 * Parse and validate the text of a manifest file.
 	 * @param text the text
-	 * @return the document, or what is wrong with the form or the content
+	 * @return the document, or the problems of its syntax, or else those of its content
 	 */
 	public static Either<List<Problem>, ManifestDocument> document(String text) {
 		IniText ini = new IniText(text);
@@ -86,22 +86,22 @@
 	}
 
 	/**
-	 * Check a document and make a manifest of it.
+	 * Validate a document and build a manifest from it.
 	 * @param document the document
-	 * @return the manifest, or everything that is wrong with it
+	 * @return the manifest, or all problems found
 	 */
 	public static Either<List<Problem>, Manifest> manifest(ManifestDocument document) {
 		return new ManifestParser(document, (section, key) -> 0, Optional.empty()).parse();
 	}
 
 	/**
-	 * Check a document that follows from another. What stands in sections that did not
-	 * change is taken from the manifest before, so that a small change to a large
+	 * Validate a changed document and build a manifest from it. Elements of unchanged
+	 * sections are reused from the previous manifest, so that a small change to a large
 	 * manifest stays cheap.
 	 * @param document the document
-	 * @param previousManifest the manifest before
-	 * @param previousDocument the document that it was made of
-	 * @return the manifest, or everything that is wrong with it
+	 * @param previousManifest the manifest before the change
+	 * @param previousDocument the document that it was built from
+	 * @return the manifest, or all problems found
 	 */
 	public static Either<List<Problem>, Manifest> manifest(ManifestDocument document, Manifest previousManifest,
 			ManifestDocument previousDocument) {
@@ -260,7 +260,8 @@
 			Function<Manifest, Map<String, T>> previousElements) {
 		Map<String, T> elements = new HashMap<>();
 		String prefix = kind + " ";
-		// An exclamation mark follows a blank: the range holds the sections of this kind.
+		// '!' is the character after the space, so the range holds just the names with
+		// this prefix.
 		for (String section : this.sections.subMap(prefix, kind + "!").keySet()) {
 			String name = section.substring(prefix.length());
 			Optional<T> unchanged = this.previous.filter((p) -> p.document().sharesSection(section, this.document))
@@ -285,15 +286,16 @@
 	}
 
 	/**
-	 * A checked manifest and its document.
+	 * A validated manifest and its document.
 	 *
 	 * @param manifest the manifest
-	 * @param document the document that it was made of
+	 * @param document the document that it was built from
 	 */
 	private record Previous(Manifest manifest, ManifestDocument document) {
 
-		// A section that did not change can still become wrong when one that it refers to
-		// goes away. Then all are checked anew; nothing refers to the other kinds.
+		// An unchanged section becomes invalid when a section that it refers to is
+		// removed. In that case all sections are validated again. No section refers to
+		// the other kinds.
 		private boolean referencesRemainValidIn(ManifestDocument next) {
 			return containsAll(this.manifest.policies().keySet(), "policy ", next)
 					&& containsAll(this.manifest.endpointSets().keySet(), "endpoint-set ", next)
@@ -306,7 +308,7 @@
 
 	}
 
-	/** Reads one section and notes what is wrong with it. */
+	/** Reads the values of one section and records the problems found. */
 	private final class SectionReader {
 
 		private final String section;
@@ -396,7 +398,7 @@
 				}
 			}
 			catch (NumberFormatException ex) {
-				// Reported below like a number out of range.
+				// Reported below, like a number out of range.
 			}
 			addProblem(key, "expected a whole number from " + min + " to " + max);
 			return min;
@@ -414,7 +416,7 @@
 				}
 			}
 			catch (NumberFormatException ex) {
-				// Reported below like a number that is not finite.
+				// Reported below, like a number that is not finite.
 			}
 			addProblem(key, "expected a number");
 			return fallback;
--- a/core/src/main/java/org/acaciacourse/core/manifest/package-info.java
+++ b/core/src/main/java/org/acaciacourse/core/manifest/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Manifests as text: canonical documents, deltas, parsing and checking.
+ * Manifests as text: canonical documents, deltas, parsing and validation.
  */
 package org.acaciacourse.core.manifest;
--- a/core/src/test/java/org/acaciacourse/core/manifest/ManifestParserTests.java
+++ b/core/src/test/java/org/acaciacourse/core/manifest/ManifestParserTests.java
@@ -77,8 +77,9 @@
 				.isEqualTo(ManifestParser.manifest(next));
 		}
 
-		// A class is removed while a customer that did not change still names it. Reusing
-		// the customer unchecked would let requests of a class that is not there in.
+		// A class is removed while an unchanged customer still refers to it. If the
+		// customer were reused without validation, requests of a class that does not
+		// exist would be admitted.
 		@Test
 		void reportsAReferenceToARemovedSection() {
 			ManifestDocument next = this.before.with(new ManifestDelta(new TreeMap<>(), Set.of("class broker")));
