--- a/core/src/main/java/org/acaciacourse/core/settings/SettingType.java
+++ b/core/src/main/java/org/acaciacourse/core/settings/SettingType.java
@@ -4,7 +4,7 @@
 import java.util.regex.Pattern;
 
 /**
- * The types of settings, each with its check.
+ * The types of settings, each with the format of its values.
  * <p>
  * Immutable and thread safe.
  */
@@ -13,22 +13,22 @@
 	/** Any text. */
 	TEXT("text", ".*"),
 
-	/** A text that is never printed. */
+	/** Text that is never printed. */
 	SECRET("secret", ".{6,}"),
 
 	/** A path of a file or folder. */
 	PATH("path", ".*"),
 
-	/** An IP number and a port. */
+	/** An IP address and a port. */
 	ADDRESS("IP:PORT", SettingType.ADDRESS_PATTERN),
 
-	/** IP numbers and ports with commas. */
+	/** IP addresses and ports, separated by commas. */
 	ADDRESS_LIST("IP:PORT, ...", SettingType.ADDRESS_PATTERN + "(\\s*,\\s*" + SettingType.ADDRESS_PATTERN + ")*"),
 
-	/** A whole number from 1. */
+	/** A whole number, at least 1. */
 	COUNT("number from 1", "[1-9][0-9]{0,8}"),
 
-	/** Whether something is done. */
+	/** A boolean. */
 	FLAG("true or false", "true|false"),
 
 	/** A number with a unit of time. */
@@ -49,9 +49,9 @@
 	}
 
 	/**
-	 * Check a value.
+	 * Validate a value.
 	 * @param text the value
-	 * @return what is wrong with it, if anything
+	 * @return the problem, empty if the value is valid
 	 */
 	public Optional<String> problemOf(String text) {
 		if (this.pattern.matcher(text).matches()) {
@@ -61,8 +61,8 @@
 	}
 
 	/**
-	 * Return how a value is written.
-	 * @return the form
+	 * Return the format of values, in words for operators.
+	 * @return the format
 	 */
 	public String format() {
 		return this.format;
--- a/core/src/main/java/org/acaciacourse/core/settings/Settings.java
+++ b/core/src/main/java/org/acaciacourse/core/settings/Settings.java
@@ -20,7 +20,7 @@
 import org.acaciacourse.core.ini.Units;
 
 /**
- * Checked settings of a process.
+ * The validated settings of a process.
  * <p>
  * Immutable and thread safe.
  */
@@ -35,10 +35,10 @@
 	}
 
 	/**
-	 * Read and check a settings file. All problems are reported together.
+	 * Parse and validate a settings file. All problems are reported together.
 	 * @param text the text of the file
 	 * @param sections the sections that the process needs
-	 * @return the settings, or everything that is wrong with them
+	 * @return the settings, or all problems found
 	 */
 	public static Either<List<Problem>, Settings> parse(String text, Set<String> sections) {
 		IniText ini = new IniText(text);
@@ -66,9 +66,10 @@
 	}
 
 	/**
-	 * Guess the sections of a file, to check it without knowing its process.
+	 * Return the known sections of a file, to validate it without knowing which process
+	 * it is for.
 	 * @param text the text of the file
-	 * @return the sections that stand in it and are known
+	 * @return the sections that the file has and that are known
 	 */
 	public static Set<String> sectionsOf(String text) {
 		SortedMap<String, SortedMap<String, String>> sections = new IniText(text).sections();
@@ -155,7 +156,7 @@
 	}
 
 	/**
-	 * Return whether something is done.
+	 * Return a boolean.
 	 * @param key the setting, a flag
 	 * @return whether it is set to true
 	 */
--- a/core/src/main/java/org/acaciacourse/core/settings/package-info.java
+++ b/core/src/main/java/org/acaciacourse/core/settings/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The table of settings and their checks.
+ * The settings of the processes and their validation.
  */
 package org.acaciacourse.core.settings;
--- a/core/src/test/java/org/acaciacourse/core/settings/SamplesTests.java
+++ b/core/src/test/java/org/acaciacourse/core/settings/SamplesTests.java
@@ -13,7 +13,7 @@
 import static com.google.common.truth.Truth.assertWithMessage;
 
 /**
- * Holds the sample settings and manifests valid.
+ * Checks that the sample settings and manifests are valid.
  */
 class SamplesTests {
 
--- a/core/src/test/java/org/acaciacourse/core/settings/SettingKeyTests.java
+++ b/core/src/test/java/org/acaciacourse/core/settings/SettingKeyTests.java
@@ -11,7 +11,7 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * Holds the table of settings in the operators' page and the code together.
+ * Checks that the table of settings in the operators' page matches the code.
  */
 class SettingKeyTests {
 
