--- a/core/src/main/java/org/acaciacourse/core/ini/CommaList.java
+++ b/core/src/main/java/org/acaciacourse/core/ini/CommaList.java
@@ -4,10 +4,10 @@
 import java.util.List;
 
 /**
- * Lists whose items stand between commas, with blanks around them or not. Written without
- * regular expressions, as headers of each answer hold such lists.
+ * Lists of items separated by commas, with optional whitespace. Avoids regular
+ * expressions, because the headers of every response contain such lists.
  * <p>
- * Thread safe: it has no state.
+ * Thread safe: stateless.
  */
 public final class CommaList {
 
@@ -15,10 +15,10 @@
 	}
 
 	/**
-	 * Take a list apart.
+	 * Split a list.
 	 * @param text the items
-	 * @return the items without the blanks around them; those at the end that are empty
-	 * are left out
+	 * @return the items without surrounding whitespace; empty items at the end are
+	 * dropped
 	 */
 	public static List<String> split(String text) {
 		List<String> items = new ArrayList<>();
--- a/core/src/main/java/org/acaciacourse/core/ini/IniText.java
+++ b/core/src/main/java/org/acaciacourse/core/ini/IniText.java
@@ -15,17 +15,18 @@
 import org.ini4j.spi.IniParser;
 
 /**
- * Text in INI form with the line of each section and key. ini4j reads the text; it does
- * not tell lines to its handler, so that a scan of the same text finds them.
+ * Text in INI format with the line number of each section and key. ini4j parses the text
+ * but does not report line numbers to its handler, so a separate pass over the text
+ * determines them.
  * <p>
  * Immutable after construction and thread safe.
  */
 public final class IniText {
 
-	/** The most lines that are read. */
+	/** The maximum number of lines. */
 	public static final int MAX_LINES = 200_000;
 
-	/** The longest line that is read, in characters. */
+	/** The maximum length of a line in characters. */
 	public static final int MAX_LINE = 16_384;
 
 	private final SortedMap<String, SortedMap<String, String>> sections = new TreeMap<>();
@@ -35,7 +36,7 @@
 	private final List<Problem> problems = new ArrayList<>();
 
 	/**
-	 * Read a text.
+	 * Parse a text.
 	 * @param text the text
 	 */
 	public IniText(String text) {
@@ -53,8 +54,8 @@
 	}
 
 	/**
-	 * Return what is wrong with the form of the text: lines that are neither section nor
-	 * key, and sections or keys that stand twice.
+	 * Return the problems of the syntax: lines that are neither a section nor a key,
+	 * duplicate sections or keys, and exceeded limits.
 	 * @return the problems
 	 */
 	public List<Problem> problems() {
@@ -62,11 +63,11 @@
 	}
 
 	/**
-	 * Return where a key stands.
+	 * Return the line number of a key.
 	 * @param section the section
 	 * @param key the key, empty for the section itself
-	 * @return the line from 1; the line of the section if the key is absent; 0 if neither
-	 * is there
+	 * @return the line number, from 1; that of the section if the key is absent; 0 if
+	 * neither exists
 	 */
 	public int line(String section, String key) {
 		Integer keyLine = this.lines.get(section + '\n' + key);
@@ -75,7 +76,7 @@
 
 	private boolean indexLines(String text) {
 		List<String> textLines = text.lines().toList();
-		// What follows the last line break is a line too, though it may be empty.
+		// The text after the last line break counts as a line, even if it is empty.
 		int trailing = (text.endsWith("\n") || text.endsWith("\r")) ? 1 : 0;
 		if (textLines.size() + trailing > MAX_LINES) {
 			this.problems.add(new Problem(MAX_LINES, "", "", "more than " + MAX_LINES + " lines"));
@@ -106,7 +107,7 @@
 		}
 		int equals = line.indexOf('=');
 		int colon = line.indexOf(':');
-		// ini4j takes a colon for an equals sign too: a key would be cut there unnoticed.
+		// ini4j also accepts a colon as separator and would silently cut the key there.
 		boolean colonInKey = colon >= 0 && colon < equals;
 		if (equals <= 0 || colonInKey || section.isEmpty()) {
 			this.problems.add(new Problem(number, section, "", "expected [section] or key = value"));
@@ -143,7 +144,7 @@
 		}
 	}
 
-	/** Gathers what the parser finds. */
+	/** Collects the sections and keys that the parser reports. */
 	private final class SectionCollector implements IniHandler {
 
 		private SortedMap<String, String> keys;
--- a/core/src/main/java/org/acaciacourse/core/ini/Problem.java
+++ b/core/src/main/java/org/acaciacourse/core/ini/Problem.java
@@ -3,14 +3,14 @@
 import java.util.Objects;
 
 /**
- * One thing that is wrong in a settings file or a manifest.
+ * A problem in a settings file or a manifest.
  * <p>
  * Immutable and thread safe.
  *
- * @param line the line, from 1; 0 if it belongs to no line
+ * @param line the line number, from 1; 0 if no line applies
  * @param section the section, empty if there is none
- * @param key the key, empty if the section as a whole is meant
- * @param text what is wrong
+ * @param key the key, empty if the problem concerns the whole section
+ * @param text the description of the problem
  */
 public record Problem(int line, String section, String key, String text) {
 
--- a/core/src/main/java/org/acaciacourse/core/ini/Range.java
+++ b/core/src/main/java/org/acaciacourse/core/ini/Range.java
@@ -1,11 +1,11 @@
 package org.acaciacourse.core.ini;
 
 /**
- * The values that a number in a settings file or a manifest may have.
+ * The permitted values of a number in a settings file or a manifest.
  * <p>
  * Immutable and thread safe.
  *
- * @param min the least permitted value
+ * @param min the smallest permitted value
  * @param max the greatest permitted value
  */
 public record Range(double min, double max) {
@@ -19,14 +19,14 @@
 	/**
 	 * Return whether a value is within the range.
 	 * @param value the value
-	 * @return whether it may be used; never for one that is no number
+	 * @return whether it is permitted, false for NaN
 	 */
 	public boolean permits(double value) {
 		return value >= this.min && value <= this.max;
 	}
 
 	/**
-	 * Return the range as a text for people.
+	 * Return the range as human-readable text.
 	 * @return the text
 	 */
 	@Override
--- a/core/src/main/java/org/acaciacourse/core/ini/TextCursor.java
+++ b/core/src/main/java/org/acaciacourse/core/ini/TextCursor.java
@@ -1,11 +1,12 @@
 package org.acaciacourse.core.ini;
 
 /**
- * Reads a short text from left to right. Regular expressions cost a process that has just
- * started time before it serves: 120 durations took 17 to 23 ms by them and with exact
- * decimals, and take 5 to 9 ms by this (four and three fresh processes on one core).
+ * Parses a short text from left to right. Used instead of regular expressions, which
+ * prolong the start of a process: 120 durations took 17 to 23 ms with regular expressions
+ * and exact decimals, and take 5 to 9 ms with this class (four and three fresh processes
+ * on one core).
  * <p>
- * Not thread safe: made for one text.
+ * Not thread safe: created for one text.
  */
 public final class TextCursor {
 
@@ -14,7 +15,7 @@
 	private int position;
 
 	/**
-	 * Begin to read.
+	 * Create a cursor at the start of a text.
 	 * @param text the text
 	 */
 	public TextCursor(String text) {
@@ -22,9 +23,9 @@
 	}
 
 	/**
-	 * Pass over digits.
-	 * @param max the most digits that are passed over
-	 * @return the digits, empty if there are none here
+	 * Consume digits.
+	 * @param max the maximum number of digits to consume
+	 * @return the digits, empty if there are none at the cursor
 	 */
 	public String digits(int max) {
 		int start = this.position;
@@ -40,9 +41,9 @@
 	}
 
 	/**
-	 * Pass over one of some characters.
-	 * @param chars the characters
-	 * @return whether one of them was here
+	 * Consume a character if it is one of the given ones.
+	 * @param chars the accepted characters
+	 * @return whether a character was consumed
 	 */
 	public boolean pass(String chars) {
 		boolean matches = this.position < this.text.length() && chars.indexOf(this.text.charAt(this.position)) >= 0;
@@ -51,7 +52,7 @@
 	}
 
 	/**
-	 * Pass over all blanks.
+	 * Skip all whitespace.
 	 */
 	public void passBlanks() {
 		while (this.position < this.text.length() && Character.isWhitespace(this.text.charAt(this.position))) {
@@ -60,8 +61,8 @@
 	}
 
 	/**
-	 * Return what is left.
-	 * @return the rest of the text
+	 * Return the remaining text.
+	 * @return the text from the cursor to the end
 	 */
 	public String rest() {
 		return this.text.substring(this.position);
--- a/core/src/main/java/org/acaciacourse/core/ini/Units.java
+++ b/core/src/main/java/org/acaciacourse/core/ini/Units.java
@@ -5,9 +5,9 @@
 import java.util.Optional;
 
 /**
- * Reads values with units as they stand in settings and manifests.
+ * Parses the values with units in settings and manifests.
  * <p>
- * Thread safe: it has no state.
+ * Thread safe: stateless.
  */
 public final class Units {
 
@@ -23,10 +23,10 @@
 	}
 
 	/**
-	 * Read a duration such as {@code 250 ms}, {@code 2 min} or {@code 1.5 s}. Parts of a
-	 * nanosecond are cut off.
+	 * Parse a duration such as {@code 250 ms}, {@code 2 min} or {@code 1.5 s}. Fractions
+	 * of a nanosecond are truncated.
 	 * @param text the text
-	 * @return the duration, if the text is one
+	 * @return the duration, empty if the text is not one
 	 */
 	public static Optional<Duration> duration(String text) {
 		TextCursor cursor = new TextCursor(text.strip());
@@ -57,10 +57,10 @@
 	}
 
 	/**
-	 * Return whether a text is a decimal number of up to nine digits before the point and
-	 * twenty after it, with an exponent or without.
+	 * Return whether a text is a decimal number with up to nine digits before the point
+	 * and twenty after it, with or without an exponent.
 	 * @param text the text
-	 * @return whether it is
+	 * @return whether it is such a number
 	 */
 	public static boolean isDecimal(String text) {
 		TextCursor cursor = new TextCursor(text);
@@ -76,9 +76,9 @@
 	}
 
 	/**
-	 * Read a size such as {@code 8 MiB}.
+	 * Parse a size such as {@code 8 MiB}.
 	 * @param text the text
-	 * @return the size in bytes, if the text is one
+	 * @return the size in bytes, empty if the text is not a size
 	 */
 	public static Optional<Long> bytes(String text) {
 		TextCursor cursor = new TextCursor(text.strip());
--- a/core/src/main/java/org/acaciacourse/core/ini/package-info.java
+++ b/core/src/main/java/org/acaciacourse/core/ini/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Text in INI form: sections, keys, lines, units and problems.
+ * Parsing of text in INI format: sections, keys, line numbers, units and problems.
  */
 package org.acaciacourse.core.ini;
--- a/core/src/test/java/org/acaciacourse/core/ini/IniTextTests.java
+++ b/core/src/test/java/org/acaciacourse/core/ini/IniTextTests.java
@@ -13,7 +13,7 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * Tests for {@link IniText} and fuzzing of what is built on it.
+ * Tests for {@link IniText} and fuzzing of the parsers built on it.
  */
 class IniTextTests {
 
