--- a/core/src/main/java/org/acaciacourse/core/code/LineBudget.java
+++ b/core/src/main/java/org/acaciacourse/core/code/LineBudget.java
@@ -3,11 +3,11 @@
 import java.util.OptionalLong;
 
 /**
- * Bounds the lines of one event in each second. In an overload where nearly every request
- * has one, the lines would cost more processor time than the requests; those that are not
- * written are counted, and the next line tells their number.
+ * Limits the log lines of one event per second. Under overload, when nearly every request
+ * writes one, the lines would cost more processor time than the requests. Suppressed
+ * lines are counted, and the next line reports their number.
  * <p>
- * Not thread safe: belongs to one event loop.
+ * Not thread safe: confined to one event loop.
  */
 public final class LineBudget {
 
@@ -22,8 +22,8 @@
 	private long suppressed;
 
 	/**
-	 * Make a budget.
-	 * @param maxPerSecond how many lines are written in a second
+	 * Create a limiter.
+	 * @param maxPerSecond the maximum number of lines per second
 	 * @param now the time in nanoseconds
 	 */
 	public LineBudget(int maxPerSecond, long now) {
@@ -32,10 +32,10 @@
 	}
 
 	/**
-	 * Ask for a line.
+	 * Request permission to write a line.
 	 * @param now the time in nanoseconds
-	 * @return how many lines were not written since the last one; nothing if this one is
-	 * not to be written either
+	 * @return the number of lines suppressed since the last one; empty if this one is
+	 * suppressed too
 	 */
 	public OptionalLong next(long now) {
 		if (now - this.windowStart >= SECOND_NANOS) {
--- a/core/src/main/java/org/acaciacourse/core/code/RefusalMerger.java
+++ b/core/src/main/java/org/acaciacourse/core/code/RefusalMerger.java
@@ -7,11 +7,12 @@
 import java.util.Optional;
 
 /**
- * Bounds the lines that refusals write: the first few of a cause in each second are told
- * one by one, the others by their number and some of their ids. In a burst that is
- * refused, a line each would cost more processor time than the refusals.
+ * Limits the log lines of refusals: the first few of each cause in a second are logged
+ * individually, the others are summarized by their number and some of their request IDs.
+ * When a burst is refused, a line for each would cost more processor time than the
+ * refusals.
  * <p>
- * Not thread safe: belongs to one event loop.
+ * Not thread safe: confined to one event loop.
  */
 public final class RefusalMerger {
 
@@ -24,19 +25,20 @@
 	private final Map<ResultCode, SecondCount> counts = new EnumMap<>(ResultCode.class);
 
 	/**
-	 * Make a merger.
-	 * @param maxPerSecond how many refusals of a cause are told one by one in a second
+	 * Create an aggregator.
+	 * @param maxPerSecond the maximum number of refusals of a cause that are logged
+	 * individually per second
 	 */
 	public RefusalMerger(int maxPerSecond) {
 		this.maxPerSecond = maxPerSecond;
 	}
 
 	/**
-	 * Note a refusal.
+	 * Record a refusal.
 	 * @param code the cause
-	 * @param request the id of the request
+	 * @param request the ID of the request
 	 * @param now the time in nanoseconds
-	 * @return whether it is to be told by itself
+	 * @return whether it is to be logged individually
 	 */
 	public boolean tell(ResultCode code, String request, long now) {
 		SecondCount count = this.counts.computeIfAbsent(code, (c) -> new SecondCount(now));
@@ -52,9 +54,9 @@
 	}
 
 	/**
-	 * Take out what was merged in seconds that are over.
+	 * Remove and return the summaries of the seconds that have ended.
 	 * @param now the time in nanoseconds
-	 * @return what is to be told, one for each cause
+	 * @return the summaries to be logged, one for each cause
 	 */
 	public List<Merged> due(long now) {
 		List<Merged> due = new ArrayList<>();
@@ -72,11 +74,11 @@
 	}
 
 	/**
-	 * Refusals of one cause.
+	 * The refusals of one cause that were not logged individually.
 	 *
 	 * @param code the cause
-	 * @param count how many were not told by themselves
-	 * @param requests the ids of the first of them
+	 * @param count the number of refusals
+	 * @param requests the IDs of the first requests
 	 */
 	public record Merged(ResultCode code, int count, List<String> requests) {
 
@@ -86,7 +88,7 @@
 
 	}
 
-	/** What was counted in a second. */
+	/** The refusals of one cause within one second. */
 	private static final class SecondCount {
 
 		private final long start;
--- a/core/src/main/java/org/acaciacourse/core/code/ResultCode.java
+++ b/core/src/main/java/org/acaciacourse/core/code/ResultCode.java
@@ -4,27 +4,26 @@
 import java.util.Optional;
 
 /**
- * The numbered results that callers, operators and logs see. The table in
- * {@code docs/RESULT-CODES.md} lists the same numbers; a test holds the two together.
- * Numbers are never reused.
+ * The numbered result codes that callers, operators and logs see. A test checks that the
+ * table in {@code docs/RESULT-CODES.md} lists the same codes. Numbers are never reused.
  * <p>
  * Immutable and thread safe.
  */
 public enum ResultCode {
 
-	/** Done. */
+	/** Success. */
 	OK(0, 200, 0, false, "done"),
 
 	/** Request line, header or body could not be parsed. */
 	MALFORMED_REQUEST(100, 400, 65, false, "the request is malformed"),
 
-	/** Body, header or header count over its bound. */
+	/** Body, header or header count exceeds its limit. */
 	REQUEST_TOO_LARGE(101, 413, 65, false, "the request exceeds a size bound"),
 
-	/** Sender slower than the bound on reading a request. */
+	/** Request not received within the time limit. */
 	REQUEST_TOO_SLOW(102, 408, 65, false, "the request was not received in time"),
 
-	/** No known customer key. */
+	/** Customer key missing or unknown. */
 	UNKNOWN_CUSTOMER(103, 401, 77, false, "the customer key is unknown"),
 
 	/** Class unknown or not allowed for the customer. */
@@ -39,16 +38,16 @@
 	/** A request that may not be repeated came without an idempotency key. */
 	IDEMPOTENCY_KEY_REQUIRED(107, 400, 65, false, "a request that may not be repeated needs an idempotency key"),
 
-	/** Header section over its bound. */
+	/** Header section exceeds its limit. */
 	HEADERS_TOO_LARGE(108, 431, 65, false, "the headers exceed a size bound"),
 
-	/** Customer over its rate or concurrency limit. */
+	/** Customer exceeds its rate or concurrency limit. */
 	CUSTOMER_LIMIT(200, 429, 75, true, "the customer is over its limit"),
 
-	/** Queue full for the class. */
+	/** Queue of the class is full. */
 	QUEUE_FULL(201, 503, 75, true, "the queue of the class is full"),
 
-	/** The latency target cannot be met by what is known. */
+	/** The latency target cannot be met as far as is known. */
 	TARGET_UNREACHABLE(202, 503, 75, true, "the target cannot be met at present"),
 
 	/** Shed in favour of a higher tier or an older request. */
@@ -63,10 +62,10 @@
 	/** The VM is stopping. */
 	STOPPING(206, 503, 75, true, "the VM is stopping"),
 
-	/** The VM does not know yet that its configuration is the latest. */
+	/** The VM has not yet confirmed that its configuration is the latest. */
 	NOT_READY(207, 503, 75, true, "the VM is not ready"),
 
-	/** The number of connections is at its bound. */
+	/** The number of connections has reached its limit. */
 	TOO_MANY_CONNECTIONS(208, 503, 75, true, "too many connections"),
 
 	/** The content crashed endpoints twice and is refused everywhere. */
@@ -75,22 +74,22 @@
 	/** The endpoint answered with an error. */
 	ENDPOINT_ERROR(300, 502, 69, true, "the endpoint answered with an error"),
 
-	/** The connection to the endpoint broke before the end of the answer. */
+	/** The connection to the endpoint broke before the end of the response. */
 	ENDPOINT_LOST(301, 502, 69, true, "the connection to the endpoint was lost"),
 
 	/** The endpoint made no progress in time. */
 	ENDPOINT_TIMEOUT(302, 504, 69, true, "the endpoint made no progress in time"),
 
-	/** The answer was truncated and could not be resumed. */
+	/** The response was truncated and could not be resumed. */
 	ANSWER_TRUNCATED(303, 502, 69, true, "the answer was cut short"),
 
-	/** The answer belonged to another attempt and was discarded. */
+	/** The response belonged to another attempt and was discarded. */
 	ANSWER_MISMATCH(304, 502, 69, true, "the answer did not belong to the request"),
 
 	/** All permitted attempts failed. */
 	RETRIES_EXHAUSTED(305, 502, 69, true, "all attempts failed"),
 
-	/** The caller went away. */
+	/** The caller closed the connection. */
 	CALLER_GONE(306, 499, 69, false, "the caller closed the connection"),
 
 	/** A claim could not be committed; the request was not sent. */
@@ -108,7 +107,7 @@
 	/** The store of claims is full. */
 	CLAIMS_FULL(404, 503, 75, true, "the claim store is full"),
 
-	/** The request ran, but its answer is no longer kept. */
+	/** The request ran, but its response is no longer stored. */
 	CLAIM_ANSWER_NOT_KEPT(405, 409, 75, false, "the request ran and its answer is not kept"),
 
 	/** Settings or command line invalid. */
@@ -117,25 +116,25 @@
 	/** Manifest invalid. */
 	INVALID_MANIFEST(501, 400, 65, false, "the manifest is invalid"),
 
-	/** Same number as the one in force, with other content. */
+	/** Same number as the manifest in force, but different content. */
 	MANIFEST_CONFLICT(502, 409, 73, false, "the number is taken by another manifest"),
 
-	/** Number lower than the one in force. */
+	/** Number lower than that of the manifest in force. */
 	MANIFEST_OUTDATED(503, 409, 73, false, "a newer manifest is in force"),
 
 	/** Operator not authenticated. */
 	OPERATOR_UNKNOWN(504, 401, 77, false, "the operator is not authenticated"),
 
-	/** Command line could not be understood. */
+	/** Command line could not be parsed. */
 	INVALID_ARGUMENTS(505, 400, 64, false, "the arguments are invalid"),
 
 	/** File could not be read. */
 	FILE_UNREADABLE(506, 400, 66, false, "the file cannot be read"),
 
-	/** No line of the logs tells of the request. */
+	/** No log line mentions the request. */
 	REQUEST_NOT_FOUND(507, 404, 1, false, "no line tells of the request"),
 
-	/** The delta starts from a manifest that is not in force any more. */
+	/** The base of the delta is no longer the manifest in force. */
 	MANIFEST_BASE_CHANGED(510, 409, 75, true, "another manifest came first, compute the delta again"),
 
 	/** No leader known or quorum lost. */
@@ -165,10 +164,10 @@
 	/** Control VMs cannot be reached. */
 	CONTROL_UNREACHABLE(608, 503, 69, true, "no control VM can be reached"),
 
-	/** The drain limit passed, work was cut. */
+	/** The drain limit passed and requests in flight were aborted. */
 	DRAIN_LIMIT(609, 500, 70, false, "the drain limit passed and work was cut"),
 
-	/** An unexpected fault. */
+	/** Unexpected internal error. */
 	INTERNAL(900, 500, 70, false, "an internal fault");
 
 	private final int number;
@@ -207,7 +206,7 @@
 	}
 
 	/**
-	 * Return the status of an HTTP answer that carries this code.
+	 * Return the status of an HTTP response that carries this code.
 	 * @return the HTTP status
 	 */
 	public int httpStatus() {
@@ -223,7 +222,7 @@
 	}
 
 	/**
-	 * Return whether a later repeat may succeed, so that a time to come back is given.
+	 * Return whether a later retry may succeed, so that responses state when to retry.
 	 * @return whether a retry makes sense
 	 */
 	public boolean isRetryable() {
@@ -231,7 +230,7 @@
 	}
 
 	/**
-	 * Return a short text for people.
+	 * Return a short human-readable text.
 	 * @return the text
 	 */
 	public String text() {
--- a/core/src/main/java/org/acaciacourse/core/code/RunState.java
+++ b/core/src/main/java/org/acaciacourse/core/code/RunState.java
@@ -1,8 +1,8 @@
 package org.acaciacourse.core.code;
 
 /**
- * What is known about whether a request was run by an endpoint. {@link #NOT_RUN} is a
- * promise: a caller may repeat the request on that account.
+ * Whether an endpoint ran a request, as far as is known. {@link #NOT_RUN} is a guarantee:
+ * a caller may repeat the request in reliance on it.
  * <p>
  * Immutable and thread safe.
  */
@@ -24,7 +24,7 @@
 	}
 
 	/**
-	 * Return the word used on the wire.
+	 * Return the label used on the wire.
 	 * @return the label
 	 */
 	public String label() {
@@ -32,9 +32,10 @@
 	}
 
 	/**
-	 * Combine what two attempts of one request tell: the stronger suspicion wins.
+	 * Combine the states of two attempts of one request: the later one in the order of
+	 * the constants wins, so that a possible run is never concealed.
 	 * @param other the state of the other attempt
-	 * @return the state of both together
+	 * @return the combined state
 	 */
 	public RunState and(RunState other) {
 		return (ordinal() >= other.ordinal()) ? this : other;
--- a/core/src/main/java/org/acaciacourse/core/code/package-info.java
+++ b/core/src/main/java/org/acaciacourse/core/code/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Numbered result codes and what is known about a request having run.
+ * Numbered result codes, the run state of requests, and limits on log lines.
  */
 package org.acaciacourse.core.code;
--- a/core/src/test/java/org/acaciacourse/core/code/LineBudgetTests.java
+++ b/core/src/test/java/org/acaciacourse/core/code/LineBudgetTests.java
@@ -22,8 +22,8 @@
 		assertThat(this.budget.next(3)).isEqualTo(OptionalLong.empty());
 	}
 
-	// Nearly all answers of a burst are late. The line after it tells how many more there
-	// were, once.
+	// Nearly all responses of a burst are late. The first line after it reports how many
+	// lines were suppressed, once.
 	@Test
 	void lineAfterABurstReportsHowManyWereSuppressed() {
 		for (int i = 0; i < 10; i++) {
