--- a/core/src/main/java/org/acaciacourse/core/measure/RetryWindows.java
+++ b/core/src/main/java/org/acaciacourse/core/measure/RetryWindows.java
@@ -6,9 +6,10 @@
 import java.util.Optional;
 
 /**
- * The requests and retries of a whole system as an observer saw them, checked against a
- * retry budget in every window. The requests that count are those of the window, of the
- * one before it, or of the one half a window before it, whichever are most.
+ * Checks the requests and retries of a whole system, as seen by an observer, against a
+ * retry budget in every window. The requests that count are those of the window itself,
+ * of the one before it, or of the one that starts half a window earlier, whichever has
+ * the most.
  * <p>
  * Not thread safe.
  */
@@ -25,10 +26,10 @@
 	private final List<Long> retries = new ArrayList<>();
 
 	/**
-	 * Make an empty account.
-	 * @param windowNanos the length of any span that is counted
-	 * @param ratio retries for each request
-	 * @param minimum retries that are permitted whatever the requests are
+	 * Create a checker without requests.
+	 * @param windowNanos the length of a window
+	 * @param ratio the retries allowed per request
+	 * @param minimum the retries allowed regardless of the number of requests
 	 */
 	public RetryWindows(long windowNanos, double ratio, double minimum) {
 		this.windowNanos = windowNanos;
@@ -37,16 +38,16 @@
 	}
 
 	/**
-	 * Note a request of a caller.
-	 * @param at when it was sent
+	 * Record a request of a caller.
+	 * @param at the time when it was sent, in nanoseconds
 	 */
 	public void request(long at) {
 		this.requests.add(at);
 	}
 
 	/**
-	 * Note an arrival at an endpoint beyond the first one of its request.
-	 * @param at when it arrived
+	 * Record an arrival at an endpoint after the first one of the same request.
+	 * @param at the time when it arrived, in nanoseconds
 	 */
 	public void retry(long at) {
 		this.retries.add(at);
@@ -54,15 +55,15 @@
 
 	/**
 	 * Return the number of retries.
-	 * @return those noted so far
+	 * @return the number recorded so far
 	 */
 	public int retryCount() {
 		return this.retries.size();
 	}
 
 	/**
-	 * Return the first window in which there were more retries than the budget allows.
-	 * @return what was counted in it
+	 * Return the first window with more retries than the budget allows.
+	 * @return a description of the window, empty if there is none
 	 */
 	public Optional<String> excess() {
 		Collections.sort(this.requests);
--- a/core/src/main/java/org/acaciacourse/core/measure/WilsonInterval.java
+++ b/core/src/main/java/org/acaciacourse/core/measure/WilsonInterval.java
@@ -1,9 +1,9 @@
 package org.acaciacourse.core.measure;
 
 /**
- * The 95% confidence interval of a share by the score method (Wilson 1927). Unlike the
- * normal approximation it stays within 0 and 1 and holds for few samples and for shares
- * near 1, which is where attainment lies.
+ * The 95% confidence interval of a proportion by the score method (Wilson 1927). Unlike
+ * the normal approximation it stays within 0 and 1 and remains valid for few samples and
+ * for proportions near 1, which is where attainment lies.
  * <p>
  * Immutable and thread safe.
  *
@@ -15,10 +15,10 @@
 	private static final double Z = 1.959964;
 
 	/**
-	 * Return the interval of a share.
-	 * @param successes how many samples count
-	 * @param samples how many samples there are
-	 * @return the interval, the whole range if there is no sample
+	 * Return the interval of a proportion.
+	 * @param successes the number of successes
+	 * @param samples the number of samples
+	 * @return the interval, from 0 to 1 if there are no samples
 	 */
 	public static WilsonInterval of(long successes, long samples) {
 		if (samples == 0) {
--- a/core/src/main/java/org/acaciacourse/core/measure/package-info.java
+++ b/core/src/main/java/org/acaciacourse/core/measure/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Statistics of results: intervals of shares, retries in sliding windows.
+ * Statistics of results: confidence intervals of proportions, retry budgets in sliding
+ * windows.
  */
 package org.acaciacourse.core.measure;
