--- a/core/src/main/java/org/acaciacourse/core/route/CallerLimits.java
+++ b/core/src/main/java/org/acaciacourse/core/route/CallerLimits.java
@@ -23,7 +23,7 @@
 
 	public CallerLimits {
 		if (maxHeaderBytes < 1 || maxBodyBytes < 1) {
-			throw new IllegalArgumentException("limits must be positive");
+			throw new IllegalArgumentException("maxHeaderBytes and maxBodyBytes must be positive");
 		}
 	}
 
--- a/core/src/main/java/org/acaciacourse/core/route/FleetEndpoint.java
+++ b/core/src/main/java/org/acaciacourse/core/route/FleetEndpoint.java
@@ -24,7 +24,7 @@
 		Objects.requireNonNull(address, "address");
 		Objects.requireNonNull(dataCentre, "dataCentre");
 		if (slots < 1) {
-			throw new IllegalArgumentException("an endpoint has a slot at least");
+			throw new IllegalArgumentException("an endpoint needs at least one slot");
 		}
 	}
 
--- a/core/src/main/java/org/acaciacourse/core/route/Pool.java
+++ b/core/src/main/java/org/acaciacourse/core/route/Pool.java
@@ -18,7 +18,7 @@
 	public Pool {
 		Objects.requireNonNull(name, "name");
 		if (maxConnections < 1) {
-			throw new IllegalArgumentException("a pool takes a connection at least");
+			throw new IllegalArgumentException("maxConnections must be at least 1");
 		}
 	}
 
--- a/core/src/main/java/org/acaciacourse/core/route/Route.java
+++ b/core/src/main/java/org/acaciacourse/core/route/Route.java
@@ -36,10 +36,10 @@
 		Objects.requireNonNull(kind, "kind");
 		shares = List.copyOf(shares);
 		if (shares.stream().mapToLong(PoolShare::weight).sum() <= 0) {
-			throw new IllegalArgumentException("a route needs a pool with a weight");
+			throw new IllegalArgumentException("a route needs at least one pool with a positive weight");
 		}
 		if (timeout.isZero() || timeout.isNegative()) {
-			throw new IllegalArgumentException("a route needs a timeout");
+			throw new IllegalArgumentException("the timeout of a route must be positive");
 		}
 	}
 
@@ -65,7 +65,7 @@
 				return share.pool();
 			}
 		}
-		throw new IllegalStateException("the point lies below the total");
+		throw new IllegalStateException("unreachable: the point is less than the sum of the weights");
 	}
 
 }
--- a/core/src/main/java/org/acaciacourse/core/route/RouteTableParser.java
+++ b/core/src/main/java/org/acaciacourse/core/route/RouteTableParser.java
@@ -131,11 +131,11 @@
 		}
 		String prefix = section.text("path-prefix").orElse("");
 		if (!prefix.startsWith("/") || !prefix.endsWith("/")) {
-			section.addProblem("path-prefix", "has to begin and end with a slash");
+			section.addProblem("path-prefix", "must begin and end with a slash");
 		}
 		Duration timeout = section.duration("timeout", Duration.ZERO);
 		if (timeout.isZero()) {
-			section.addProblem("timeout", "has to be above 0");
+			section.addProblem("timeout", "must be above 0");
 		}
 		List<PoolShare> shares = parseShares(section);
 		if (shares.stream().mapToLong(PoolShare::weight).sum() <= 0) {
@@ -179,7 +179,7 @@
 		for (Route route : routes) {
 			String other = names.putIfAbsent(route.host() + ' ' + route.pathPrefix(), route.name());
 			if (other != null) {
-				addProblem(ROUTE + route.name(), "path-prefix", "host and prefix are those of route " + other + " too");
+				addProblem(ROUTE + route.name(), "path-prefix", "same host and path prefix as route " + other);
 			}
 		}
 	}
@@ -201,7 +201,7 @@
 			for (String key : owner.keys()) {
 				String other = customers.putIfAbsent(key, owner.customer());
 				if (other != null && !other.equals(owner.customer())) {
-					addProblem(CUSTOMER + owner.customer(), "keys", "a key is one of customer " + other + " too");
+					addProblem(CUSTOMER + owner.customer(), "keys", "a key also belongs to customer " + other);
 				}
 			}
 		}
--- a/core/src/test/java/org/acaciacourse/core/route/RouteTableParserTests.java
+++ b/core/src/test/java/org/acaciacourse/core/route/RouteTableParserTests.java
@@ -81,7 +81,7 @@
 		@Test
 		void equalHostAndPrefix() {
 			route("third", "/a/b/", "desk");
-			assertProblem("host and prefix are those of route");
+			assertProblem("same host and path prefix as route");
 		}
 
 		@Test
@@ -93,13 +93,13 @@
 		@Test
 		void noTimeout() {
 			section("route inner", "timeout", "0 ms");
-			assertProblem("has to be above 0");
+			assertProblem("must be above 0");
 		}
 
 		@Test
 		void keyOfTwoCustomers() {
 			section("customer other", "keys", "k2");
-			assertProblem("a key is one of customer");
+			assertProblem("a key also belongs to customer");
 		}
 
 		@Test
