--- a/core/src/main/java/org/acaciacourse/core/manifest/ManifestDocument.java
+++ b/core/src/main/java/org/acaciacourse/core/manifest/ManifestDocument.java
@@ -190,7 +190,7 @@
 			return MessageDigest.getInstance("SHA-256");
 		}
 		catch (NoSuchAlgorithmException ex) {
-			throw new IllegalStateException("every Java platform has SHA-256", ex);
+			throw new IllegalStateException("every Java platform must support SHA-256", ex);
 		}
 	}
 
--- a/core/src/main/java/org/acaciacourse/core/manifest/ManifestParser.java
+++ b/core/src/main/java/org/acaciacourse/core/manifest/ManifestParser.java
@@ -141,7 +141,7 @@
 	private void checkSectionNames() {
 		for (String section : this.sections.keySet()) {
 			if (!SECTION_NAME.matcher(section).matches() && !section.equals(MANIFEST)) {
-				addProblem(section, "", "unknown section, or a name that is not " + NAME_FORM);
+				addProblem(section, "", "unknown section, or name does not match " + NAME_FORM);
 			}
 		}
 		if (!this.document.contains(MANIFEST)) {
@@ -154,7 +154,7 @@
 		customers.values().forEach((customer) -> customer.keyDigests().forEach((digest) -> {
 			String other = owners.putIfAbsent(digest, customer.name());
 			if (other != null) {
-				addProblem("customer " + customer.name(), "key-sha256", "is a key of customer " + other + " too");
+				addProblem("customer " + customer.name(), "key-sha256", "a key also belongs to customer " + other);
 			}
 		}));
 	}
@@ -189,7 +189,7 @@
 		Duration deadline = reader.duration("deadline", target.limit());
 		boolean preemptible = reader.flag("preemptible", false);
 		if (deadline.compareTo(target.limit()) < 0) {
-			reader.addProblem("deadline", "is shorter than the target");
+			reader.addProblem("deadline", "must not be shorter than the target");
 			deadline = target.limit();
 		}
 		if (preemptible && tier == Tier.HIGH) {
@@ -367,7 +367,7 @@
 			String value = required(key);
 			Optional<T> found = lookup.apply(value);
 			if (found.isEmpty() && !value.isEmpty()) {
-				addProblem(key, "unknown word " + value);
+				addProblem(key, "unknown value " + value);
 			}
 			return found.orElse(fallback);
 		}
