--- a/core/src/main/java/org/acaciacourse/core/settings/Settings.java
+++ b/core/src/main/java/org/acaciacourse/core/settings/Settings.java
@@ -94,11 +94,12 @@
 		boolean certificate = !values.get(SettingKey.ENTRY_TLS_CERTIFICATE).isEmpty();
 		boolean key = !values.get(SettingKey.ENTRY_TLS_KEY).isEmpty();
 		if (certificate != key) {
-			problems.add(problem(ini, SettingKey.ENTRY_TLS_CERTIFICATE, "goes together with tls-key"));
+			problems.add(problem(ini, SettingKey.ENTRY_TLS_CERTIFICATE, "must be set together with tls-key"));
 		}
 		String inner = values.get(SettingKey.INNER_KEY);
 		if (inner != null && inner.length() < MIN_INNER_KEY_LENGTH) {
-			problems.add(problem(ini, SettingKey.INNER_KEY, "needs " + MIN_INNER_KEY_LENGTH + " characters or more"));
+			problems
+				.add(problem(ini, SettingKey.INNER_KEY, "must have at least " + MIN_INNER_KEY_LENGTH + " characters"));
 		}
 		if (!Set.of("otlp", "log", "none").contains(values.get(SettingKey.TRACES_EXPORTER))) {
 			problems.add(problem(ini, SettingKey.TRACES_EXPORTER, "expected otlp, log or none"));
@@ -132,7 +133,8 @@
 	public String text(SettingKey key) {
 		String value = this.values.get(key);
 		if (value == null) {
-			throw new IllegalStateException("section [" + key.section() + "] was not asked for");
+			throw new IllegalStateException(
+					"section [" + key.section() + "] was not requested when the settings were parsed");
 		}
 		return value;
 	}
@@ -206,7 +208,7 @@
 			return new InetSocketAddress(InetAddress.getByName(host), portOf(text));
 		}
 		catch (UnknownHostException ex) {
-			throw new IllegalStateException("an IP number needs no look-up", ex);
+			throw new IllegalStateException("an IP address literal needs no lookup", ex);
 		}
 	}
 
