--- a/core/src/main/java/org/acaciacourse/core/ini/IniText.java
+++ b/core/src/main/java/org/acaciacourse/core/ini/IniText.java
@@ -120,7 +120,7 @@
 	private void recordLine(String section, String key, int number) {
 		Integer firstLine = this.lines.putIfAbsent(section + '\n' + key, number);
 		if (firstLine != null) {
-			this.problems.add(new Problem(number, section, key, "stands already in line " + firstLine));
+			this.problems.add(new Problem(number, section, key, "already defined in line " + firstLine));
 		}
 	}
 
@@ -140,7 +140,7 @@
 			this.problems.add(new Problem(0, "", "", ex.getMessage()));
 		}
 		catch (IOException ex) {
-			throw new IllegalStateException("a text in memory cannot fail to be read", ex);
+			throw new IllegalStateException("reading a string in memory cannot fail", ex);
 		}
 	}
 
--- a/core/src/main/java/org/acaciacourse/core/ini/Range.java
+++ b/core/src/main/java/org/acaciacourse/core/ini/Range.java
@@ -12,7 +12,7 @@
 
 	public Range {
 		if (!(min <= max)) {
-			throw new IllegalArgumentException("a range begins before it ends");
+			throw new IllegalArgumentException("min must not be greater than max");
 		}
 	}
 
