--- a/core/src/main/java/org/acaciacourse/core/state/ClaimTable.java
+++ b/core/src/main/java/org/acaciacourse/core/state/ClaimTable.java
@@ -30,22 +30,22 @@
 
 	static final int MAX_CLAIMS = 100_000;
 
-	static final int MAX_ANSWER_BYTES = 256 * 1024;
+	static final int MAX_RESPONSE_BYTES = 256 * 1024;
 
-	static final long MAX_KEPT_BYTES = 16L * 1024 * 1024;
+	static final long MAX_STORED_RESPONSE_BYTES = 16L * 1024 * 1024;
 
 	/** How long it is known that a request ran or may have run. */
-	static final long EXPIRY_MILLIS = Duration.ofHours(24).toMillis();
+	static final long RETENTION_MILLIS = Duration.ofHours(24).toMillis();
 
 	/** No request runs that long: its owner is gone without a trace. */
-	static final long ABANDONED_MILLIS = Duration.ofHours(24).toMillis();
+	static final long ABANDON_TIMEOUT_MILLIS = Duration.ofHours(24).toMillis();
 
 	/** In the order of their last change, so that the first ones expire first. */
 	private final Map<ClaimKey, ClaimRecord> claims = new LinkedHashMap<>();
 
-	private final Set<ClaimKey> keptAnswers = new LinkedHashSet<>();
+	private final Set<ClaimKey> keysWithResponse = new LinkedHashSet<>();
 
-	private long keptBytes;
+	private long storedResponseBytes;
 
 	ClaimTable(List<ClaimRecord> claims) {
 		claims.forEach(this::put);
@@ -54,13 +54,13 @@
 	ClaimResult claim(Command.Claim command, long time) {
 		ClaimRecord old = this.claims.get(command.key());
 		if (old != null && old.outcome() != ClaimOutcome.NOT_RUN) {
-			return known(old, command);
+			return resultForExisting(old, command);
 		}
 		if (old != null && old.owner().equals(command.owner()) && isSingleUse(command.owner())) {
 			// A resend that arrives after its request ended must not claim again.
 			return new ClaimResult(ResultCode.CLAIM_UNAVAILABLE, false, ClaimOutcome.NOT_RUN, Optional.empty());
 		}
-		if (old == null && this.claims.size() >= MAX_CLAIMS && !dropOneNotRun()) {
+		if (old == null && this.claims.size() >= MAX_CLAIMS && !evictOneNotRun()) {
 			return new ClaimResult(ResultCode.CLAIMS_FULL, false, ClaimOutcome.NOT_RUN, Optional.empty());
 		}
 		put(new ClaimRecord(command.key(), command.contentHash(), command.owner(), ClaimOutcome.IN_PROGRESS, time,
@@ -79,9 +79,11 @@
 			return new ClaimResult(ResultCode.OK, false, old.outcome(), Optional.empty());
 		}
 		int length = command.answer().length;
-		boolean keep = command.outcome() == ClaimOutcome.ANSWERED && length > 0 && length <= MAX_ANSWER_BYTES;
-		put(old.ended(command.outcome(), time, (keep) ? Optional.of(command.answer()) : Optional.empty()));
-		dropOldestAnswers();
+		boolean storeResponse = command.outcome() == ClaimOutcome.ANSWERED && length > 0
+				&& length <= MAX_RESPONSE_BYTES;
+		put(old.withOutcome(command.outcome(), time,
+				(storeResponse) ? Optional.of(command.answer()) : Optional.empty()));
+		evictOldestResponses();
 		return new ClaimResult(ResultCode.OK, false, command.outcome(), Optional.empty());
 	}
 
@@ -90,17 +92,17 @@
 			.stream()
 			.filter((claim) -> claim.outcome() == ClaimOutcome.IN_PROGRESS && belongsTo(claim.owner(), owner))
 			.toList();
-		held.forEach((claim) -> put(claim.ended(ClaimOutcome.UNKNOWN, time, Optional.empty())));
+		held.forEach((claim) -> put(claim.withOutcome(ClaimOutcome.UNKNOWN, time, Optional.empty())));
 	}
 
 	void expire(long time) {
 		while (!this.claims.isEmpty()) {
 			ClaimRecord oldest = this.claims.values().iterator().next();
 			long age = time - oldest.changedAt();
-			if (oldest.outcome() == ClaimOutcome.IN_PROGRESS && age >= ABANDONED_MILLIS) {
-				put(oldest.ended(ClaimOutcome.UNKNOWN, time, Optional.empty()));
+			if (oldest.outcome() == ClaimOutcome.IN_PROGRESS && age >= ABANDON_TIMEOUT_MILLIS) {
+				put(oldest.withOutcome(ClaimOutcome.UNKNOWN, time, Optional.empty()));
 			}
-			else if (oldest.outcome() != ClaimOutcome.IN_PROGRESS && age >= EXPIRY_MILLIS) {
+			else if (oldest.outcome() != ClaimOutcome.IN_PROGRESS && age >= RETENTION_MILLIS) {
 				remove(oldest.key());
 			}
 			else {
@@ -121,18 +123,18 @@
 		return this.claims.size();
 	}
 
-	long keptBytes() {
-		return this.keptBytes;
+	long storedResponseBytes() {
+		return this.storedResponseBytes;
 	}
 
-	private ClaimResult known(ClaimRecord old, Command.Claim command) {
+	private ClaimResult resultForExisting(ClaimRecord old, Command.Claim command) {
 		if (!old.contentHash().equals(command.contentHash())) {
 			return new ClaimResult(ResultCode.CLAIM_CONTENT_DIFFERS, false, old.outcome(), Optional.empty());
 		}
 		if (old.outcome() == ClaimOutcome.IN_PROGRESS) {
 			// The owner's own resend after a lost answer: it alone waits for this claim.
-			boolean own = old.owner().equals(command.owner()) && isSingleUse(command.owner());
-			return new ClaimResult((own) ? ResultCode.OK : ResultCode.CLAIM_IN_PROGRESS, own, old.outcome(),
+			boolean resend = old.owner().equals(command.owner()) && isSingleUse(command.owner());
+			return new ClaimResult((resend) ? ResultCode.OK : ResultCode.CLAIM_IN_PROGRESS, resend, old.outcome(),
 					Optional.empty());
 		}
 		if (old.outcome() == ClaimOutcome.UNKNOWN) {
@@ -146,39 +148,39 @@
 		remove(claim.key());
 		this.claims.put(claim.key(), claim);
 		claim.answer().ifPresent((answer) -> {
-			this.keptAnswers.add(claim.key());
-			this.keptBytes += answer.length;
+			this.keysWithResponse.add(claim.key());
+			this.storedResponseBytes += answer.length;
 		});
 	}
 
 	private void remove(ClaimKey key) {
 		ClaimRecord old = this.claims.remove(key);
 		if (old != null && old.answer().isPresent()) {
-			this.keptAnswers.remove(key);
-			this.keptBytes -= old.answer().get().length;
+			this.keysWithResponse.remove(key);
+			this.storedResponseBytes -= old.answer().get().length;
 		}
 	}
 
-	private void dropOldestAnswers() {
-		while (this.keptBytes > MAX_KEPT_BYTES) {
-			ClaimKey oldest = this.keptAnswers.iterator().next();
+	private void evictOldestResponses() {
+		while (this.storedResponseBytes > MAX_STORED_RESPONSE_BYTES) {
+			ClaimKey oldest = this.keysWithResponse.iterator().next();
 			ClaimRecord claim = this.claims.get(oldest);
-			this.keptAnswers.remove(oldest);
-			this.keptBytes -= claim.answer().get().length;
+			this.keysWithResponse.remove(oldest);
+			this.storedResponseBytes -= claim.answer().get().length;
 			// Replaces the value in place: the order of the last changes stays.
-			this.claims.put(oldest, claim.withoutAnswer());
+			this.claims.put(oldest, claim.withoutResponse());
 		}
 	}
 
 	// A request that was not run leaves no fact that a claim has to guard.
-	private boolean dropOneNotRun() {
-		Optional<ClaimKey> found = this.claims.values()
+	private boolean evictOneNotRun() {
+		Optional<ClaimKey> evictable = this.claims.values()
 			.stream()
 			.filter((claim) -> claim.outcome() == ClaimOutcome.NOT_RUN)
 			.map(ClaimRecord::key)
 			.findFirst();
-		found.ifPresent(this::remove);
-		return found.isPresent();
+		evictable.ifPresent(this::remove);
+		return evictable.isPresent();
 	}
 
 	private static boolean isSingleUse(String owner) {
--- a/core/src/main/java/org/acaciacourse/core/state/ControlState.java
+++ b/core/src/main/java/org/acaciacourse/core/state/ControlState.java
@@ -69,9 +69,9 @@
 	 * @return the snapshot
 	 */
 	public ControlStateSnapshot snapshot() {
-		return new ControlStateSnapshot(this.appliedIndex, this.time, this.manifests.inForce(),
-				this.manifests.history(), this.manifests.audit(), this.leases.fencingNumber(), this.leases.leases(),
-				this.claims.claims(), this.crashes.revision(), this.crashes.since(0));
+		return new ControlStateSnapshot(this.appliedIndex, this.time, this.manifests.active(), this.manifests.history(),
+				this.manifests.audit(), this.leases.fencingNumber(), this.leases.leases(), this.claims.claims(),
+				this.crashes.revision(), this.crashes.since(0));
 	}
 
 	/**
@@ -132,7 +132,7 @@
 	 * @return the document
 	 */
 	public ManifestDocument document() {
-		return this.manifests.inForce().document();
+		return this.manifests.active().document();
 	}
 
 	/**
@@ -140,7 +140,7 @@
 	 * @return the number, 0 before the first manifest
 	 */
 	public long number() {
-		return this.manifests.inForce().number();
+		return this.manifests.active().number();
 	}
 
 	/**
@@ -148,7 +148,7 @@
 	 * @return the digest, before the first manifest that of the empty document
 	 */
 	public String digest() {
-		return this.manifests.inForce().digest();
+		return this.manifests.active().digest();
 	}
 
 	/**
@@ -209,7 +209,7 @@
 	 * @return the statistics
 	 */
 	public Statistics statistics() {
-		return new Statistics(this.claims.size(), this.claims.keptBytes(), this.leases.leases().size(),
+		return new Statistics(this.claims.size(), this.claims.storedResponseBytes(), this.leases.leases().size(),
 				this.leases.fencingNumber(), this.crashes.revision(), this.manifests.history().size());
 	}
 
@@ -217,14 +217,14 @@
 	 * How much is kept.
 	 *
 	 * @param claims the number of claims
-	 * @param keptAnswerBytes the bytes of the answers kept
+	 * @param storedResponseBytes the bytes of the answers kept
 	 * @param leases the number of leases
 	 * @param fencingNumber the highest fencing number given out
 	 * @param crashRevision the revision of the latest crash report
-	 * @param changes the number of manifest changes that deltas can be made from
+	 * @param manifestChanges the number of manifest changes that deltas can be made from
 	 */
-	public record Statistics(int claims, long keptAnswerBytes, int leases, long fencingNumber, long crashRevision,
-			int changes) {
+	public record Statistics(int claims, long storedResponseBytes, int leases, long fencingNumber, long crashRevision,
+			int manifestChanges) {
 	}
 
 }
--- a/core/src/main/java/org/acaciacourse/core/state/ControlStateSnapshot.java
+++ b/core/src/main/java/org/acaciacourse/core/state/ControlStateSnapshot.java
@@ -101,11 +101,11 @@
 			Objects.requireNonNull(answer, "answer");
 		}
 
-		ClaimRecord ended(ClaimOutcome next, long at, Optional<byte[]> kept) {
-			return new ClaimRecord(this.key, this.contentHash, this.owner, next, at, kept);
+		ClaimRecord withOutcome(ClaimOutcome newOutcome, long time, Optional<byte[]> newResponse) {
+			return new ClaimRecord(this.key, this.contentHash, this.owner, newOutcome, time, newResponse);
 		}
 
-		ClaimRecord withoutAnswer() {
+		ClaimRecord withoutResponse() {
 			return new ClaimRecord(this.key, this.contentHash, this.owner, this.outcome, this.changedAt,
 					Optional.empty());
 		}
--- a/core/src/main/java/org/acaciacourse/core/state/CrashTable.java
+++ b/core/src/main/java/org/acaciacourse/core/state/CrashTable.java
@@ -20,7 +20,7 @@
 	static final int MAX_CRASHES = 10_000;
 
 	/** One crash, which proves nothing of a single content. */
-	private static final int SUSPICION = 1;
+	private static final int SUSPECT_CRASHES = 1;
 
 	private final Map<Long, CrashRecord> byContent = new HashMap<>();
 
@@ -35,17 +35,17 @@
 
 	// A suspicion is cleared by a report of 0, which followers must hear of: they try
 	// suspects one after the other and would wait for this one. A proof is not cleared.
-	private static boolean changes(CrashRecord old, int crashes) {
+	private static boolean isChange(CrashRecord old, int crashes) {
 		if (old == null) {
 			return crashes > 0;
 		}
-		boolean cleared = crashes == 0 && old.crashes() == SUSPICION;
+		boolean cleared = crashes == 0 && old.crashes() == SUSPECT_CRASHES;
 		return cleared || crashes > old.crashes();
 	}
 
 	void report(Command.ReportCrash command) {
 		CrashRecord old = this.byContent.get(command.contentHash());
-		if (!changes(old, command.crashes())) {
+		if (!isChange(old, command.crashes())) {
 			return;
 		}
 		if (old != null) {
--- a/core/src/main/java/org/acaciacourse/core/state/ManifestStore.java
+++ b/core/src/main/java/org/acaciacourse/core/state/ManifestStore.java
@@ -36,40 +36,40 @@
 
 	private final Deque<AuditEntry> audit;
 
-	private ManifestInForce inForce;
+	private ManifestInForce active;
 
 	private int sectionsInHistory;
 
 	ManifestStore(ManifestInForce inForce, List<ManifestChange> history, List<AuditEntry> audit) {
-		this.inForce = inForce;
+		this.active = inForce;
 		this.history = new ArrayDeque<>(history);
 		this.audit = new ArrayDeque<>(audit);
-		this.sectionsInHistory = history.stream().mapToInt((change) -> size(change.delta())).sum();
+		this.sectionsInHistory = history.stream().mapToInt((change) -> sectionCount(change.delta())).sum();
 	}
 
 	ManifestResult put(Command.PutManifest command, long time) {
-		if (command.number() < this.inForce.number()) {
+		if (command.number() < this.active.number()) {
 			return result(ResultCode.MANIFEST_OUTDATED);
 		}
-		if (command.number() == this.inForce.number()) {
+		if (command.number() == this.active.number()) {
 			// A resend after a lost answer gets the answer of the first time.
-			boolean same = command.digest().equals(this.inForce.digest());
+			boolean same = command.digest().equals(this.active.digest());
 			return result((same) ? ResultCode.OK : ResultCode.MANIFEST_CONFLICT);
 		}
-		if (!command.baseDigest().equals(this.inForce.digest())) {
+		if (!command.baseDigest().equals(this.active.digest())) {
 			return result(ResultCode.MANIFEST_BASE_CHANGED);
 		}
-		ManifestDocument next = this.inForce.document().with(command.delta());
+		ManifestDocument next = this.active.document().with(command.delta());
 		if (!next.digest().equals(command.digest())) {
 			return result(ResultCode.INVALID_MANIFEST);
 		}
-		record(command, time);
-		this.inForce = new ManifestInForce(command.number(), command.digest(), next);
+		appendChange(command, time);
+		this.active = new ManifestInForce(command.number(), command.digest(), next);
 		return result(ResultCode.OK);
 	}
 
-	ManifestInForce inForce() {
-		return this.inForce;
+	ManifestInForce active() {
+		return this.active;
 	}
 
 	List<ManifestChange> history() {
@@ -83,7 +83,7 @@
 	Optional<ManifestDelta> deltaFrom(long number, String digest) {
 		SortedMap<String, SortedMap<String, String>> changed = new TreeMap<>();
 		Set<String> removed = new HashSet<>();
-		boolean found = number == this.inForce.number() && digest.equals(this.inForce.digest());
+		boolean found = number == this.active.number() && digest.equals(this.active.digest());
 		for (ManifestChange change : this.history) {
 			found = found || (change.baseNumber() == number && change.baseDigest().equals(digest));
 			if (found && change.number() > number) {
@@ -97,13 +97,13 @@
 		return (found) ? Optional.of(new ManifestDelta(changed, removed)) : Optional.empty();
 	}
 
-	private void record(Command.PutManifest command, long time) {
-		int sections = size(command.delta());
-		this.history.addLast(new ManifestChange(command.number(), command.digest(), this.inForce.number(),
-				this.inForce.digest(), command.delta()));
+	private void appendChange(Command.PutManifest command, long time) {
+		int sections = sectionCount(command.delta());
+		this.history.addLast(new ManifestChange(command.number(), command.digest(), this.active.number(),
+				this.active.digest(), command.delta()));
 		this.sectionsInHistory += sections;
 		while (this.history.size() > MAX_CHANGES || this.sectionsInHistory > MAX_CHANGED_SECTIONS) {
-			this.sectionsInHistory -= size(this.history.removeFirst().delta());
+			this.sectionsInHistory -= sectionCount(this.history.removeFirst().delta());
 		}
 		this.audit.addLast(new AuditEntry(time, command.operator(), command.number(), command.digest(), sections));
 		if (this.audit.size() > MAX_AUDIT_ENTRIES) {
@@ -112,10 +112,10 @@
 	}
 
 	private ManifestResult result(ResultCode code) {
-		return new ManifestResult(code, this.inForce.number(), this.inForce.digest());
+		return new ManifestResult(code, this.active.number(), this.active.digest());
 	}
 
-	private static int size(ManifestDelta delta) {
+	private static int sectionCount(ManifestDelta delta) {
 		return delta.changed().size() + delta.removed().size();
 	}
 
--- a/core/src/main/java/org/acaciacourse/core/state/ProposalClock.java
+++ b/core/src/main/java/org/acaciacourse/core/state/ProposalClock.java
@@ -21,9 +21,9 @@
 
 	private static final long NANOS_PER_MILLI = 1_000_000;
 
-	private long value;
+	private long valueNanos;
 
-	private long readAt;
+	private long lastReadNanos;
 
 	/**
 	 * Start a clock.
@@ -33,8 +33,8 @@
 	 */
 	public ProposalClock(ControlState state, long wallMillis, long nowNanos) {
 		long start = (state.isAnyLeaseHeld()) ? state.time() : Math.max(state.time(), wallMillis);
-		this.value = NANOS_PER_MILLI * start;
-		this.readAt = nowNanos;
+		this.valueNanos = NANOS_PER_MILLI * start;
+		this.lastReadNanos = nowNanos;
 	}
 
 	/**
@@ -45,11 +45,11 @@
 	 * @return milliseconds since the epoch, nearly
 	 */
 	public long proposedAt(long wallMillis, long nowNanos) {
-		long elapsed = Math.max(0, nowNanos - this.readAt);
-		long behind = NANOS_PER_MILLI * wallMillis - this.value - elapsed;
-		this.value += elapsed + Math.max(0, Math.min(elapsed / CATCH_UP_DIVISOR, behind));
-		this.readAt = nowNanos;
-		return this.value / NANOS_PER_MILLI;
+		long elapsed = Math.max(0, nowNanos - this.lastReadNanos);
+		long behind = NANOS_PER_MILLI * wallMillis - this.valueNanos - elapsed;
+		this.valueNanos += elapsed + Math.max(0, Math.min(elapsed / CATCH_UP_DIVISOR, behind));
+		this.lastReadNanos = nowNanos;
+		return this.valueNanos / NANOS_PER_MILLI;
 	}
 
 }
--- a/core/src/test/java/org/acaciacourse/core/state/ControlStateTests.java
+++ b/core/src/test/java/org/acaciacourse/core/state/ControlStateTests.java
@@ -42,7 +42,7 @@
 	class Manifests {
 
 		@Test
-		void resendGetsTheFirstAnswerAndEqualNumbersConflict() {
+		void resendGetsTheOriginalResultAndADifferentManifestWithThatNumberConflicts() {
 			// Two operators race with equal numbers, and the first resends because its
 			// answer was lost. The second must learn what is in force, the first must
 			// not be told that it lost against itself.
@@ -57,7 +57,7 @@
 		}
 
 		@Test
-		void deltaFromAnOldBaseIsNotApplied() {
+		void deltaFromAnOutdatedBaseIsNotApplied() {
 			put(1, document("1"), ManifestDocument.empty());
 			ManifestResult result = put(2, document("2"), ManifestDocument.empty());
 			assertThat(result.baseChanged()).isTrue();
@@ -65,7 +65,7 @@
 		}
 
 		@Test
-		void followerIsServedOneDeltaOverSeveralChanges() {
+		void deltaForAFollowerCombinesSeveralChanges() {
 			put(1, document("1"), ManifestDocument.empty());
 			put(2, document("2"), document("1"));
 			put(3, document("3"), document("2"));
@@ -95,7 +95,7 @@
 		}
 
 		@Test
-		void timeOfAProposerWithASlowClockDoesNotGoBack() {
+		void timeDoesNotGoBackWhenAProposerHasASlowClock() {
 			acquire(1_000, "a");
 			LeaseResult renewed = acquire(500, "a");
 			assertThat(renewed.remainingMillis()).isEqualTo(100);
@@ -118,7 +118,7 @@
 		}
 
 		@Test
-		void resendGetsTheKeptAnswer() {
+		void resendGetsTheStoredResponse() {
 			assertThat(claim(0, KEY, "vm1#1").granted()).isTrue();
 			assertThat(claim(0, KEY, "vm2#1").code()).isEqualTo(ResultCode.CLAIM_IN_PROGRESS);
 			complete(KEY, "vm1#1", ClaimOutcome.ANSWERED, new byte[] { 7 });
@@ -129,14 +129,14 @@
 		}
 
 		@Test
-		void endOfTheOwnerLeavesItsClaimsUnknown() {
+		void endOfTheOwnerMarksItsOpenClaimsUnknown() {
 			claim(0, KEY, "vm1#1");
 			apply(new Command.EndOwner(0, "vm1"));
 			assertThat(claim(0, KEY, "vm2#1").code()).isEqualTo(ResultCode.CLAIM_OUTCOME_UNKNOWN);
 		}
 
 		@Test
-		void lateCompletionDoesNotFreeTheNextClaim() {
+		void lateCompletionDoesNotEndALaterClaim() {
 			// The entry VM proves a request not run, its caller sends it again, and the
 			// first completion arrives once more from a slow connection. If it counted
 			// for the second request, a third one would run beside it.
@@ -149,19 +149,20 @@
 		}
 
 		@Test
-		void answersGoBeforeFactsAndFactsStayUntilTheyExpire() {
-			byte[] large = new byte[ClaimTable.MAX_ANSWER_BYTES];
-			long most = ClaimTable.MAX_KEPT_BYTES / large.length;
+		void responsesAreEvictedFirstAndOutcomesStayUntilTheyExpire() {
+			byte[] large = new byte[ClaimTable.MAX_RESPONSE_BYTES];
+			long most = ClaimTable.MAX_STORED_RESPONSE_BYTES / large.length;
 			for (int i = 0; i <= most; i++) {
 				ClaimKey key = new ClaimKey("c", "k" + i);
 				claim(0, key, "vm1#" + i);
 				complete(key, "vm1#" + i, ClaimOutcome.ANSWERED, large);
 			}
 			ClaimKey oldest = new ClaimKey("c", "k0");
-			assertThat(claim(ClaimTable.EXPIRY_MILLIS - 1, oldest, "vm2#1").code())
+			assertThat(claim(ClaimTable.RETENTION_MILLIS - 1, oldest, "vm2#1").code())
 				.isEqualTo(ResultCode.CLAIM_ANSWER_NOT_KEPT);
-			assertThat(ControlStateTests.this.state.statistics().keptAnswerBytes()).isAtMost(ClaimTable.MAX_KEPT_BYTES);
-			assertThat(claim(ClaimTable.EXPIRY_MILLIS, oldest, "vm2#2").granted()).isTrue();
+			assertThat(ControlStateTests.this.state.statistics().storedResponseBytes())
+				.isAtMost(ClaimTable.MAX_STORED_RESPONSE_BYTES);
+			assertThat(claim(ClaimTable.RETENTION_MILLIS, oldest, "vm2#2").granted()).isTrue();
 		}
 
 		@Test
@@ -193,7 +194,7 @@
 		// A suspect was cleared by the VM that tried it, but the others never heard of
 		// it and held their own suspects back for its turn.
 		@Test
-		void clearedSuspicionIsPassedOnButAProofStays() {
+		void clearedSuspectIsReportedAndProvenCrashesStay() {
 			apply(new Command.ReportCrash(0, 8, 1));
 			apply(new Command.ReportCrash(0, 9, 2));
 			apply(new Command.ReportCrash(0, 8, 0));
--- a/core/src/test/java/org/acaciacourse/core/state/ProposalClockTests.java
+++ b/core/src/test/java/org/acaciacourse/core/state/ProposalClockTests.java
@@ -14,7 +14,7 @@
 	private final ControlState state = new ControlState();
 
 	@Test
-	void newLeaderWithAClockAheadDoesNotEndALease() {
+	void newLeaderWithAClockAheadDoesNotExpireALease() {
 		// The lease holds for ten seconds when its leader fails. The next leader's wall
 		// clock is an hour ahead: by it the lease would be over at once.
 		this.state.apply(1, new Command.AcquireLease(1_000, "writer", "a", 10_000));
@@ -34,7 +34,7 @@
 	}
 
 	@Test
-	void withoutALeaseTheWallClockIsTakenAtOnce() {
+	void withoutALeaseTheWallClockIsAdoptedAtOnce() {
 		assertThat(new ProposalClock(this.state, 5_000, 0).proposedAt(5_000, 0)).isEqualTo(5_000);
 	}
 
