--- a/core/src/main/java/org/acaciacourse/core/lease/LeaseHolder.java
+++ b/core/src/main/java/org/acaciacourse/core/lease/LeaseHolder.java
@@ -24,11 +24,11 @@
 
 	private long requestNumber;
 
-	private boolean outstanding;
+	private boolean requestOutstanding;
 
 	private long requestedAt;
 
-	private long nextRequest = Long.MIN_VALUE;
+	private long nextRequestAt = Long.MIN_VALUE;
 
 	private long fencingNumber;
 
@@ -49,43 +49,43 @@
 	 * @return the number of the request to send, if one is due
 	 */
 	public OptionalLong request(long now) {
-		boolean givenUp = this.outstanding && now - this.requestedAt >= this.timing.renewNanos();
-		if ((this.outstanding && !givenUp) || now < this.nextRequest) {
+		boolean timedOut = this.requestOutstanding && now - this.requestedAt >= this.timing.renewIntervalNanos();
+		if ((this.requestOutstanding && !timedOut) || now < this.nextRequestAt) {
 			return OptionalLong.empty();
 		}
 		this.requestNumber++;
-		this.outstanding = true;
+		this.requestOutstanding = true;
 		this.requestedAt = now;
-		this.nextRequest = now + this.timing.renewNanos();
+		this.nextRequestAt = now + this.timing.renewIntervalNanos();
 		return OptionalLong.of(this.requestNumber);
 	}
 
 	/**
 	 * The lease was granted or renewed.
 	 * @param request the number of the request; an answer to an earlier one is ignored
-	 * @param number the fencing number
+	 * @param grantedNumber the fencing number
 	 */
-	public void granted(long request, long number) {
-		if (!this.outstanding || request != this.requestNumber || number < this.fencingNumber) {
+	public void granted(long request, long grantedNumber) {
+		if (!this.requestOutstanding || request != this.requestNumber || grantedNumber < this.fencingNumber) {
 			return;
 		}
-		this.outstanding = false;
-		this.fencingNumber = number;
+		this.requestOutstanding = false;
+		this.fencingNumber = grantedNumber;
 		this.usableUntil = this.requestedAt + this.timing.usableNanos();
 	}
 
 	/**
 	 * The lease is held by another process, or the request failed.
 	 * @param request the number of the request
-	 * @param lost whether another process is known to hold the lease
+	 * @param heldElsewhere whether another process is known to hold the lease
 	 */
-	public void refused(long request, boolean lost) {
-		if (!this.outstanding || request != this.requestNumber) {
+	public void refused(long request, boolean heldElsewhere) {
+		if (!this.requestOutstanding || request != this.requestNumber) {
 			return;
 		}
-		this.outstanding = false;
-		if (lost) {
-			stop();
+		this.requestOutstanding = false;
+		if (heldElsewhere) {
+			invalidate();
 		}
 	}
 
@@ -106,12 +106,12 @@
 	 */
 	public Optional<Long> release(long now) {
 		OptionalLong held = fencingNumber(now);
-		this.outstanding = false;
-		stop();
+		this.requestOutstanding = false;
+		invalidate();
 		return (held.isPresent()) ? Optional.of(held.getAsLong()) : Optional.empty();
 	}
 
-	private void stop() {
+	private void invalidate() {
 		this.usableUntil = Long.MIN_VALUE;
 	}
 
--- a/core/src/main/java/org/acaciacourse/core/lease/LeaseTiming.java
+++ b/core/src/main/java/org/acaciacourse/core/lease/LeaseTiming.java
@@ -10,17 +10,17 @@
  * Immutable and thread safe.
  *
  * @param durationNanos how long a lease is asked for
- * @param renewNanos the time between renewals
+ * @param renewIntervalNanos the time between renewals
  * @param driftPerThousand the bound on the difference of the clocks' rates, the catch-up
  * of {@link org.acaciacourse.core.state.ProposalClock} included
  * @param marginNanos how long before the end the holder stops: longer than a send takes
  * from its check to the network
  */
-public record LeaseTiming(long durationNanos, long renewNanos, int driftPerThousand, long marginNanos) {
+public record LeaseTiming(long durationNanos, long renewIntervalNanos, int driftPerThousand, long marginNanos) {
 
 	public LeaseTiming {
 		long usable = usable(durationNanos, driftPerThousand, marginNanos);
-		if (renewNanos <= 0 || driftPerThousand < 0 || marginNanos < 0 || usable <= renewNanos) {
+		if (renewIntervalNanos <= 0 || driftPerThousand < 0 || marginNanos < 0 || usable <= renewIntervalNanos) {
 			throw new IllegalArgumentException("a lease must outlast the time to its renewal");
 		}
 	}
--- a/core/src/test/java/org/acaciacourse/core/lease/LeaseHolderTests.java
+++ b/core/src/test/java/org/acaciacourse/core/lease/LeaseHolderTests.java
@@ -17,7 +17,7 @@
 	private final LeaseHolder holder = new LeaseHolder(TIMING);
 
 	@Test
-	void leaseCountsFromTheRequestAndEndsEarly() {
+	void leaseTimeCountsFromTheRequestAndEndsEarly() {
 		long request = this.holder.request(100).getAsLong();
 		this.holder.granted(request, 7);
 		assertThat(this.holder.fencingNumber(999)).isEqualTo(OptionalLong.of(7));
@@ -25,7 +25,7 @@
 	}
 
 	@Test
-	void answerAfterAFreezeDoesNotReviveTheLease() {
+	void replyReadAfterAPauseDoesNotReviveTheLease() {
 		// The process asks, is frozen past the lease, and finds the answer when it
 		// wakes. By then another process may hold the lease.
 		long request = this.holder.request(0).getAsLong();
@@ -36,7 +36,7 @@
 	}
 
 	@Test
-	void answerToARequestThatWasGivenUpIsIgnored() {
+	void replyToATimedOutRequestIsIgnored() {
 		long first = this.holder.request(0).getAsLong();
 		assertThat(this.holder.request(299)).isEqualTo(OptionalLong.empty());
 		long second = this.holder.request(300).getAsLong();
@@ -47,7 +47,7 @@
 	}
 
 	@Test
-	void releaseStopsAtOnceAlsoWithARenewalUnderWay() {
+	void releaseEndsTheLeaseAtOnceEvenWithARenewalOutstanding() {
 		long request = this.holder.request(0).getAsLong();
 		this.holder.granted(request, 7);
 		long renewal = this.holder.request(300).getAsLong();
