--- a/core/src/main/java/org/acaciacourse/core/membership/EndpointSubset.java
+++ b/core/src/main/java/org/acaciacourse/core/membership/EndpointSubset.java
@@ -33,30 +33,31 @@
 	 * @param entries the names of the live entry VMs; {@code self} counts whether it is
 	 * among them or not
 	 * @param endpoints the names of the endpoints
-	 * @param sharers how many entry VMs each endpoint belongs to
+	 * @param entriesPerEndpoint how many entry VMs each endpoint belongs to
 	 * @return the names of this VM's endpoints; all of them while there are no more than
 	 * {@code sharers} entry VMs
 	 */
 	public static Set<String> choose(String self, Collection<String> entries, Collection<String> endpoints,
-			int sharers) {
+			int entriesPerEndpoint) {
 		List<String> others = entries.stream().filter((entry) -> !entry.equals(self)).distinct().toList();
-		if (others.size() < sharers) {
+		if (others.size() < entriesPerEndpoint) {
 			return Set.copyOf(endpoints);
 		}
-		long[] seeds = others.stream().mapToLong(EndpointSubset::hash).toArray();
-		long ownSeed = hash(self);
+		long[] otherHashes = others.stream().mapToLong(EndpointSubset::hash).toArray();
+		long selfHash = hash(self);
 		return endpoints.stream()
-			.filter((endpoint) -> isAmongHighest(hash(endpoint), ownSeed, seeds, sharers))
+			.filter((endpoint) -> isAmongHighest(hash(endpoint), selfHash, otherHashes, entriesPerEndpoint))
 			.collect(Collectors.toUnmodifiableSet());
 	}
 
-	private static boolean isAmongHighest(long endpoint, long ownSeed, long[] seeds, int sharers) {
-		long own = weight(ownSeed, endpoint);
+	private static boolean isAmongHighest(long endpointHash, long selfHash, long[] otherHashes,
+			int entriesPerEndpoint) {
+		long selfWeight = weight(selfHash, endpointHash);
 		int higher = 0;
-		for (long seed : seeds) {
-			if (weight(seed, endpoint) > own) {
+		for (long otherHash : otherHashes) {
+			if (weight(otherHash, endpointHash) > selfWeight) {
 				higher++;
-				if (higher >= sharers) {
+				if (higher >= entriesPerEndpoint) {
 					return false;
 				}
 			}
@@ -64,8 +65,8 @@
 		return true;
 	}
 
-	private static long weight(long entry, long endpoint) {
-		return HASH.hashLong(entry ^ Long.rotateLeft(endpoint, 32));
+	private static long weight(long entryHash, long endpointHash) {
+		return HASH.hashLong(entryHash ^ Long.rotateLeft(endpointHash, 32));
 	}
 
 	private static long hash(String name) {
--- a/core/src/test/java/org/acaciacourse/core/membership/EndpointSubsetTests.java
+++ b/core/src/test/java/org/acaciacourse/core/membership/EndpointSubsetTests.java
@@ -18,18 +18,19 @@
  */
 class EndpointSubsetTests {
 
-	private static final int SHARERS = 9;
+	private static final int ENTRIES_PER_ENDPOINT = 9;
 
 	private static List<String> names(String prefix, int count) {
 		return IntStream.range(0, count).mapToObj((i) -> prefix + i).toList();
 	}
 
 	@Nested
-	class Few {
+	class FewEntries {
 
 		@Test
-		void entriesWorkWithAllEndpoints() {
-			Set<String> chosen = EndpointSubset.choose("entry-0", names("entry-", SHARERS), names("e", 13), SHARERS);
+		void useAllEndpoints() {
+			Set<String> chosen = EndpointSubset.choose("entry-0", names("entry-", ENTRIES_PER_ENDPOINT), names("e", 13),
+					ENTRIES_PER_ENDPOINT);
 			assertThat(chosen).hasSize(13);
 		}
 
@@ -43,21 +44,21 @@
 		private final List<String> endpoints = names("runner-", 12_000);
 
 		@Test
-		void eachEndpointHasExactlyItsNumberOfEntries() {
+		void eachEndpointHasExactlyTheGivenNumberOfEntries() {
 			Map<String, Integer> counts = new HashMap<>();
 			for (String entry : this.entries) {
-				EndpointSubset.choose(entry, this.entries, this.endpoints, SHARERS)
+				EndpointSubset.choose(entry, this.entries, this.endpoints, ENTRIES_PER_ENDPOINT)
 					.forEach((endpoint) -> counts.merge(endpoint, 1, Integer::sum));
 			}
 			assertThat(counts).hasSize(this.endpoints.size());
-			assertThat(Set.copyOf(counts.values())).containsExactly(SHARERS);
+			assertThat(Set.copyOf(counts.values())).containsExactly(ENTRIES_PER_ENDPOINT);
 		}
 
 		@Test
 		void eachEntryHasNearlyTheSameNumberOfEndpoints() {
-			int mean = this.endpoints.size() * SHARERS / this.entries.size();
+			int mean = this.endpoints.size() * ENTRIES_PER_ENDPOINT / this.entries.size();
 			for (String entry : this.entries) {
-				int size = EndpointSubset.choose(entry, this.entries, this.endpoints, SHARERS).size();
+				int size = EndpointSubset.choose(entry, this.entries, this.endpoints, ENTRIES_PER_ENDPOINT).size();
 				assertThat(size).isIn(Range.closed(mean * 7 / 10, mean * 13 / 10));
 			}
 		}
@@ -65,10 +66,10 @@
 		// An entry VM fails. Were the subsets of the others reshuffled, each would open
 		// connections to endpoints it knows nothing of, all at the same moment.
 		@Test
-		void aLostEntryMovesOnlyWhatItShared() {
-			Set<String> before = EndpointSubset.choose("entry-1", this.entries, this.endpoints, SHARERS);
+		void losingAnEntryReassignsOnlyItsEndpoints() {
+			Set<String> before = EndpointSubset.choose("entry-1", this.entries, this.endpoints, ENTRIES_PER_ENDPOINT);
 			List<String> left = this.entries.subList(1, this.entries.size());
-			Set<String> after = EndpointSubset.choose("entry-1", left, this.endpoints, SHARERS);
+			Set<String> after = EndpointSubset.choose("entry-1", left, this.endpoints, ENTRIES_PER_ENDPOINT);
 			Set<String> lost = new HashSet<>(before);
 			lost.removeAll(after);
 			assertThat(lost).isEmpty();
