--- a/core/src/main/java/org/acaciacourse/core/order/EngineRecord.java
+++ b/core/src/main/java/org/acaciacourse/core/order/EngineRecord.java
@@ -16,14 +16,14 @@
 
 	private boolean outstanding;
 
-	private boolean settled;
+	private boolean converged;
 
 	private long notBefore;
 
-	private long wantedSince;
+	private long desiredSince;
 
 	EngineRecord(long now) {
-		this.wantedSince = now;
+		this.desiredSince = now;
 	}
 
 	/**
@@ -32,25 +32,25 @@
 	 * restarts would never pass.
 	 * @param now the time
 	 */
-	void wantedAnew(long now) {
-		this.wantedSince = now;
-		if (this.settled) {
-			lookAgainAt(now);
+	void desiredStateChanged(long now) {
+		this.desiredSince = now;
+		if (this.converged) {
+			resetAndReadAt(now);
 		}
 	}
 
-	long wantedSince() {
-		return this.wantedSince;
+	long desiredSince() {
+		return this.desiredSince;
 	}
 
 	/**
 	 * Forget what is known of the engine.
 	 * @param time when to look at it
 	 */
-	void lookAgainAt(long time) {
+	void resetAndReadAt(long time) {
 		this.state = Optional.empty();
 		this.outstanding = false;
-		this.settled = false;
+		this.converged = false;
 		this.notBefore = time;
 	}
 
@@ -58,16 +58,16 @@
 	 * Note that the engine is as it should be.
 	 * @param next when to look again
 	 */
-	void settle(long next) {
-		lookAgainAt(next);
-		this.settled = true;
+	void markConverged(long next) {
+		resetAndReadAt(next);
+		this.converged = true;
 	}
 
-	boolean isSettled() {
-		return this.settled;
+	boolean isConverged() {
+		return this.converged;
 	}
 
-	boolean isIdle(long now) {
+	boolean isDue(long now) {
 		return !this.outstanding && now >= this.notBefore;
 	}
 
@@ -75,13 +75,13 @@
 		return this.state;
 	}
 
-	void asked() {
+	void requestStarted() {
 		this.outstanding = true;
 	}
 
-	void read(EngineState next) {
+	void stateRead(EngineState next) {
 		this.outstanding = false;
-		this.settled = false;
+		this.converged = false;
 		this.state = Optional.of(next);
 	}
 
@@ -91,12 +91,13 @@
 	 * read and it, and none can come any more.
 	 * @param order the order
 	 */
-	void done(EngineOrder order) {
+	void orderCompleted(EngineOrder order) {
 		this.outstanding = false;
-		this.state = this.state.filter((old) -> order.kind() != EngineOrder.Kind.ROLE).map((old) -> after(old, order));
+		this.state = this.state.filter((old) -> order.kind() != EngineOrder.Kind.ROLE)
+			.map((old) -> applyOrder(old, order));
 	}
 
-	private static EngineState after(EngineState old, EngineOrder order) {
+	private static EngineState applyOrder(EngineState old, EngineOrder order) {
 		Set<String> loaded = new TreeSet<>(old.loaded());
 		if (order.kind() == EngineOrder.Kind.LOAD) {
 			loaded.add(order.subject());
--- a/core/src/main/java/org/acaciacourse/core/order/OrderWriter.java
+++ b/core/src/main/java/org/acaciacourse/core/order/OrderWriter.java
@@ -39,9 +39,9 @@
 
 	private Map<String, DesiredEngine> desired = Map.of();
 
-	private List<DesiredEngine> byUrgency = List.of();
+	private List<DesiredEngine> byTier = List.of();
 
-	private long tenure;
+	private long currentFencingNumber;
 
 	/**
 	 * Make a writer that has nothing to do.
@@ -61,17 +61,17 @@
 	 * @param now the time
 	 */
 	public void desire(SortedMap<String, DesiredEngine> engines, long now) {
-		Map<String, DesiredEngine> known = this.desired;
+		Map<String, DesiredEngine> previous = this.desired;
 		this.desired = new TreeMap<>(engines);
-		this.byUrgency = engines.values()
+		this.byTier = engines.values()
 			.stream()
 			.sorted(Comparator.comparing(DesiredEngine::tier).thenComparing(DesiredEngine::endpoint))
 			.toList();
 		this.records.keySet().retainAll(engines.keySet());
-		for (DesiredEngine engine : this.byUrgency) {
+		for (DesiredEngine engine : this.byTier) {
 			EngineRecord record = this.records.computeIfAbsent(engine.endpoint(), (name) -> newRecord(engine, now));
-			if (!engine.equals(known.get(engine.endpoint()))) {
-				record.wantedAnew(now);
+			if (!engine.equals(previous.get(engine.endpoint()))) {
+				record.desiredStateChanged(now);
 			}
 		}
 	}
@@ -85,13 +85,13 @@
 		if (fencingNumber.isEmpty()) {
 			return;
 		}
-		if (fencingNumber.getAsLong() != this.tenure) {
-			this.tenure = fencingNumber.getAsLong();
+		if (fencingNumber.getAsLong() != this.currentFencingNumber) {
+			this.currentFencingNumber = fencingNumber.getAsLong();
 			// Another writer may have spent all that the weight store permits.
-			this.budget.empty(now);
-			this.byUrgency.forEach((engine) -> this.records.put(engine.endpoint(), newRecord(engine, now)));
+			this.budget.clear(now);
+			this.byTier.forEach((engine) -> this.records.put(engine.endpoint(), newRecord(engine, now)));
 		}
-		this.byUrgency.forEach((engine) -> advance(engine, this.records.get(engine.endpoint()), now));
+		this.byTier.forEach((engine) -> reconcile(engine, this.records.get(engine.endpoint()), now));
 	}
 
 	/**
@@ -101,7 +101,7 @@
 	 * @param state the state
 	 */
 	public void stateRead(String endpoint, long fencingNumber, EngineState state) {
-		current(endpoint, fencingNumber).ifPresent((record) -> record.read(state));
+		recordIfCurrent(endpoint, fencingNumber).ifPresent((record) -> record.stateRead(state));
 	}
 
 	/**
@@ -109,7 +109,7 @@
 	 * @param order the order
 	 */
 	public void done(EngineOrder order) {
-		current(order.endpoint(), order.fencingNumber()).ifPresent((record) -> record.done(order));
+		recordIfCurrent(order.endpoint(), order.fencingNumber()).ifPresent((record) -> record.orderCompleted(order));
 	}
 
 	/**
@@ -118,8 +118,8 @@
 	 * @param now the time
 	 */
 	public void fenced(EngineOrder order, long now) {
-		current(order.endpoint(), order.fencingNumber()).ifPresent((record) -> {
-			record.lookAgainAt(now + this.timing.rereadNanos());
+		recordIfCurrent(order.endpoint(), order.fencingNumber()).ifPresent((record) -> {
+			record.resetAndReadAt(now + this.timing.rereadNanos());
 			this.actions.outdated(order.endpoint(), 0);
 		});
 	}
@@ -132,78 +132,79 @@
 	 * @param now the time
 	 */
 	public void failed(String endpoint, long fencingNumber, long now) {
-		current(endpoint, fencingNumber)
-			.ifPresent((record) -> record.lookAgainAt(now + this.timing.orderTimeoutNanos()));
+		recordIfCurrent(endpoint, fencingNumber)
+			.ifPresent((record) -> record.resetAndReadAt(now + this.timing.orderTimeoutNanos()));
 	}
 
 	/**
 	 * Return how many engines had all they need when they were looked at last.
 	 * @return the number
 	 */
-	public long settled() {
-		return this.records.values().stream().filter(EngineRecord::isSettled).count();
+	public long convergedCount() {
+		return this.records.values().stream().filter(EngineRecord::isConverged).count();
 	}
 
-	private void advance(DesiredEngine engine, EngineRecord record, long now) {
-		if (!record.isIdle(now)) {
+	private void reconcile(DesiredEngine engine, EngineRecord record, long now) {
+		if (!record.isDue(now)) {
 			return;
 		}
 		if (record.state().isEmpty()) {
-			record.asked();
+			record.requestStarted();
 			this.actions.readState(engine.endpoint());
 			return;
 		}
 		EngineState state = record.state().get();
-		if (engine.checksFencing() && state.fencingNumber() > this.tenure) {
-			record.lookAgainAt(now + this.timing.rereadNanos());
+		if (engine.checksFencing() && state.fencingNumber() > this.currentFencingNumber) {
+			record.resetAndReadAt(now + this.timing.rereadNanos());
 			this.actions.outdated(engine.endpoint(), state.fencingNumber());
 			return;
 		}
 		Optional<EngineOrder> next = nextOrder(engine, record, now);
 		if (next.isPresent()) {
-			record.asked();
+			record.requestStarted();
 			this.actions.send(next.get());
 		}
-		else if (missing(engine, state).isEmpty()) {
-			record.settle(now + this.timing.rereadNanos());
+		else if (firstMissing(engine, state).isEmpty()) {
+			record.markConverged(now + this.timing.rereadNanos());
 		}
 	}
 
 	private Optional<EngineOrder> nextOrder(DesiredEngine engine, EngineRecord record, long now) {
 		EngineState state = record.state().orElseThrow();
-		if (engine.checksFencing() && state.fencingNumber() < this.tenure) {
+		if (engine.checksFencing() && state.fencingNumber() < this.currentFencingNumber) {
 			return Optional.of(order(engine, EngineOrder.Kind.ROLE, state.role()));
 		}
-		Optional<String> unwanted = unwanted(engine, state);
-		if (unwanted.isPresent() && now - record.wantedSince() >= this.timing.unloadDelayNanos()) {
+		Optional<String> unwanted = firstUnwanted(engine, state);
+		if (unwanted.isPresent() && now - record.desiredSince() >= this.timing.unloadDelayNanos()) {
 			return Optional.of(order(engine, EngineOrder.Kind.UNLOAD, unwanted.get()));
 		}
-		return missing(engine, state).filter((model) -> this.budget.take(engine.tier(), now))
+		return firstMissing(engine, state).filter((model) -> this.budget.tryAcquire(engine.tier(), now))
 			.map((model) -> order(engine, EngineOrder.Kind.LOAD, model));
 	}
 
 	private EngineOrder order(DesiredEngine engine, EngineOrder.Kind kind, String subject) {
-		return new EngineOrder(engine.endpoint(), this.tenure, kind, subject);
+		return new EngineOrder(engine.endpoint(), this.currentFencingNumber, kind, subject);
 	}
 
 	private EngineRecord newRecord(DesiredEngine engine, long now) {
 		EngineRecord record = new EngineRecord(now);
-		record.lookAgainAt((engine.checksFencing()) ? now : now + this.timing.orderTimeoutNanos());
+		record.resetAndReadAt((engine.checksFencing()) ? now : now + this.timing.orderTimeoutNanos());
 		return record;
 	}
 
 	// An answer that belongs to an earlier tenure says nothing about this one.
-	private Optional<EngineRecord> current(String endpoint, long fencingNumber) {
-		return Optional.ofNullable(this.records.get(endpoint)).filter((record) -> fencingNumber == this.tenure);
+	private Optional<EngineRecord> recordIfCurrent(String endpoint, long fencingNumber) {
+		return Optional.ofNullable(this.records.get(endpoint))
+			.filter((record) -> fencingNumber == this.currentFencingNumber);
 	}
 
-	private static Optional<String> missing(DesiredEngine engine, EngineState state) {
+	private static Optional<String> firstMissing(DesiredEngine engine, EngineState state) {
 		TreeSet<String> missing = new TreeSet<>(engine.models());
 		missing.removeAll(state.loaded());
 		return missing.stream().findFirst();
 	}
 
-	private static Optional<String> unwanted(DesiredEngine engine, EngineState state) {
+	private static Optional<String> firstUnwanted(DesiredEngine engine, EngineState state) {
 		TreeSet<String> unwanted = new TreeSet<>(state.loaded());
 		unwanted.removeAll(engine.models());
 		return unwanted.stream().findFirst();
--- a/core/src/main/java/org/acaciacourse/core/order/WeightBudget.java
+++ b/core/src/main/java/org/acaciacourse/core/order/WeightBudget.java
@@ -18,11 +18,11 @@
 
 	private final double capacity;
 
-	private final double perNano;
+	private final double tokensPerNano;
 
 	private double tokens;
 
-	private long filledAt;
+	private long refilledAt;
 
 	/**
 	 * Make an empty bucket.
@@ -36,17 +36,17 @@
 			throw new IllegalArgumentException("each tier needs a token, and tokens must come in");
 		}
 		this.capacity = capacity;
-		this.perNano = perSecond / 1e9;
-		this.filledAt = now;
+		this.tokensPerNano = perSecond / 1e9;
+		this.refilledAt = now;
 	}
 
 	/**
 	 * Empty the bucket.
 	 * @param now the time
 	 */
-	public void empty(long now) {
+	public void clear(long now) {
 		this.tokens = 0;
-		this.filledAt = now;
+		this.refilledAt = now;
 	}
 
 	/**
@@ -55,9 +55,9 @@
 	 * @param now the time
 	 * @return whether the load may start
 	 */
-	public boolean take(Tier tier, long now) {
-		this.tokens = Math.min(this.capacity, this.tokens + (now - this.filledAt) * this.perNano);
-		this.filledAt = now;
+	public boolean tryAcquire(Tier tier, long now) {
+		this.tokens = Math.min(this.capacity, this.tokens + (now - this.refilledAt) * this.tokensPerNano);
+		this.refilledAt = now;
 		// A token is kept for each tier above this one.
 		if (this.tokens < 1 + tier.ordinal()) {
 			return false;
--- a/core/src/test/java/org/acaciacourse/core/order/OrderWriterTests.java
+++ b/core/src/test/java/org/acaciacourse/core/order/OrderWriterTests.java
@@ -72,10 +72,10 @@
 	}
 
 	@Nested
-	class CheckingEngine {
+	class FencingEngine {
 
 		@Test
-		void getsTheNumberBeforeItsStateIsBelieved() {
+		void receivesTheFencingNumberBeforeItsStateIsTrusted() {
 			// The last writer's order to unload is still under way. If the successor
 			// believed the first read, the order would come after it and the model would
 			// be gone. With the new number first, the engine refuses the late order.
@@ -93,7 +93,7 @@
 		}
 
 		@Test
-		void thatHasSeenAHigherNumberGetsNoOrder() {
+		void thatHasSeenAHigherNumberReceivesNoOrder() {
 			desire(0, engine("e", true, Tier.HIGH));
 			tick(2, 5);
 			OrderWriterTests.this.writer.stateRead("e", 2, new EngineState(3, Set.of(), "serve"));
@@ -105,10 +105,10 @@
 	}
 
 	@Nested
-	class IgnoringEngine {
+	class NonFencingEngine {
 
 		@Test
-		void isReadOnlyAfterLateOrdersOfTheLastWriter() {
+		void isReadOnlyAfterTheOrderTimeoutOfThePreviousWriter() {
 			// Such an engine carries out whatever arrives. What the last writer sent just
 			// before its lease ended may arrive until the time of an order has passed, so
 			// an earlier look would miss it.
@@ -121,13 +121,13 @@
 		}
 
 		@Test
-		void isOrderedAgainWhatAnOverlongOrderUndid() {
+		void isCorrectedAtTheNextReadAfterALateOrder() {
 			desire(0, engine("e", false, Tier.HIGH));
 			tick(2, 5);
 			tick(2, 15);
 			OrderWriterTests.this.writer.stateRead("e", 2, new EngineState(0, Set.of("m"), "serve"));
 			tick(2, 16);
-			assertThat(OrderWriterTests.this.writer.settled()).isEqualTo(1);
+			assertThat(OrderWriterTests.this.writer.convergedCount()).isEqualTo(1);
 			tick(2, 116);
 			OrderWriterTests.this.writer.stateRead("e", 2, new EngineState(0, Set.of(), "serve"));
 			tick(2, 117);
@@ -137,7 +137,7 @@
 	}
 
 	@Nested
-	class Tenure {
+	class LeaseChange {
 
 		@Test
 		void withoutALeaseNothingIsSent() {
@@ -149,7 +149,7 @@
 		}
 
 		@Test
-		void answerFromAnEarlierOneIsNotBelieved() {
+		void replyFromAnEarlierLeaseIsIgnored() {
 			// The process loses the lease and gets it back, while another writer was in
 			// charge. An answer to its old read tells of a state that may be long gone.
 			desire(0, engine("e", true, Tier.HIGH));
@@ -163,10 +163,10 @@
 	}
 
 	@Nested
-	class Changes {
+	class DesiredStateChange {
 
 		@Test
-		void unwantedModelStaysForTheDelay() {
+		void unwantedModelStaysLoadedForTheUnloadDelay() {
 			desire(0, engine("e", true, Tier.HIGH));
 			tick(1, 5);
 			OrderWriterTests.this.writer.stateRead("e", 1, new EngineState(1, Set.of("m", "old"), "serve"));
@@ -179,7 +179,7 @@
 		}
 
 		@Test
-		void changesOfOtherEnginesDoNotKeepAnUnwantedModelLoaded() {
+		void changesToOtherEnginesDoNotRestartTheUnloadDelay() {
 			// A pipeline changes some customer or endpoint every few seconds. If each
 			// change restarted the delay, the memory of the model would never be freed.
 			desire(0, engine("e", true, Tier.HIGH));
@@ -191,7 +191,7 @@
 		}
 
 		@Test
-		void settledEngineIsLookedAtAtOnceWhenItsModelsChange() {
+		void convergedEngineIsReadAtOnceWhenItsModelsChange() {
 			desire(0, engine("e", true, Tier.HIGH));
 			tick(1, 5);
 			OrderWriterTests.this.writer.stateRead("e", 1, new EngineState(1, Set.of("m"), "serve"));
@@ -207,7 +207,7 @@
 	class Budget {
 
 		@Test
-		void massReloadDoesNotStarveANeededLoad() {
+		void massReloadDoesNotStarveALoadOfTheHighestTier() {
 			// A change reloads twenty engines of the lowest tier and takes all that the
 			// weight store gives. In the midst of it an engine of the highest tier
 			// restarts empty: it must be next, not twenty-first.
