--- a/core/src/main/java/org/acaciacourse/core/attempt/RequestProgress.java
+++ b/core/src/main/java/org/acaciacourse/core/attempt/RequestProgress.java
@@ -21,24 +21,24 @@
 
 	private final Route route;
 
-	private final Set<String> tried = new HashSet<>();
+	private final Set<String> triedInstances = new HashSet<>();
 
-	private int sent;
+	private int sentAttempts;
 
 	/**
 	 * Attempts that endpoints ran or may run; those that they turned away don't count.
 	 */
-	private int mayHaveRun;
+	private int attemptsThatMayHaveRun;
 
 	/** Whether an attempt is under way that may run. */
-	private boolean underWay;
+	private boolean attemptInProgress;
 
 	/** Whether an attempt that ended may have run. */
-	private boolean ranBefore;
+	private boolean earlierAttemptMayHaveRun;
 
-	private boolean passedOn;
+	private boolean responseForwarded;
 
-	private AttemptEnd last = AttemptEnd.NOT_SENT;
+	private AttemptEnd lastEnd = AttemptEnd.NOT_SENT;
 
 	public RequestProgress(Route route) {
 		this.route = Objects.requireNonNull(route, "route");
@@ -49,7 +49,7 @@
 	 * @param instance the endpoint's instance
 	 */
 	public void begin(String instance) {
-		this.tried.add(instance);
+		this.triedInstances.add(instance);
 	}
 
 	/**
@@ -57,17 +57,17 @@
 	 * otherwise it may run.
 	 */
 	public void sent() {
-		this.sent++;
-		this.mayHaveRun++;
-		this.underWay = true;
+		this.sentAttempts++;
+		this.attemptsThatMayHaveRun++;
+		this.attemptInProgress = true;
 	}
 
 	/**
 	 * A part of an answer was passed on to the caller.
 	 */
 	public void passedOn() {
-		this.passedOn = true;
-		this.ranBefore = true;
+		this.responseForwarded = true;
+		this.earlierAttemptMayHaveRun = true;
 	}
 
 	/**
@@ -75,12 +75,12 @@
 	 * @param end how
 	 */
 	public void ended(AttemptEnd end) {
-		this.last = end;
-		if (this.underWay && !end.mayHaveRun()) {
-			this.mayHaveRun--;
+		this.lastEnd = end;
+		if (this.attemptInProgress && !end.mayHaveRun()) {
+			this.attemptsThatMayHaveRun--;
 		}
-		this.underWay = false;
-		this.ranBefore |= end.mayHaveRun();
+		this.attemptInProgress = false;
+		this.earlierAttemptMayHaveRun |= end.mayHaveRun();
 	}
 
 	/**
@@ -88,10 +88,10 @@
 	 * @return whether neither the route nor what may have run forbids it
 	 */
 	public boolean mayTryAgain() {
-		boolean left = this.mayHaveRun < this.route.maxAttempts();
-		boolean harmless = this.route.isIdempotent() || !this.ranBefore;
-		boolean resumes = !this.passedOn || this.route.resumable();
-		return left && harmless && resumes && this.last != AttemptEnd.ANSWERED;
+		boolean attemptsLeft = this.attemptsThatMayHaveRun < this.route.maxAttempts();
+		boolean safeToRepeat = this.route.isIdempotent() || !this.earlierAttemptMayHaveRun;
+		boolean canResume = !this.responseForwarded || this.route.resumable();
+		return attemptsLeft && safeToRepeat && canResume && this.lastEnd != AttemptEnd.ANSWERED;
 	}
 
 	/**
@@ -100,7 +100,7 @@
 	 * @return whether a byte was sent before
 	 */
 	public boolean isRepeat() {
-		return this.sent > 0;
+		return this.sentAttempts > 0;
 	}
 
 	/**
@@ -108,7 +108,7 @@
 	 * @return their instances
 	 */
 	public Set<String> tried() {
-		return Set.copyOf(this.tried);
+		return Set.copyOf(this.triedInstances);
 	}
 
 	/**
@@ -116,7 +116,7 @@
 	 * @return {@link RunState#NOT_RUN} only if no endpoint ran it and none will
 	 */
 	public RunState runState() {
-		return (this.underWay || this.ranBefore) ? RunState.UNKNOWN : RunState.NOT_RUN;
+		return (this.attemptInProgress || this.earlierAttemptMayHaveRun) ? RunState.UNKNOWN : RunState.NOT_RUN;
 	}
 
 	/**
@@ -132,7 +132,7 @@
 		if (timedOut) {
 			return ResultCode.ENDPOINT_TIMEOUT;
 		}
-		return failureOf(this.last).orElse(ResultCode.RETRIES_EXHAUSTED);
+		return failureOf(this.lastEnd).orElse(ResultCode.RETRIES_EXHAUSTED);
 	}
 
 	private static Optional<ResultCode> failureOf(AttemptEnd end) {
--- a/core/src/test/java/org/acaciacourse/core/attempt/RequestProgressTests.java
+++ b/core/src/test/java/org/acaciacourse/core/attempt/RequestProgressTests.java
@@ -33,13 +33,13 @@
 	}
 
 	@Nested
-	class NotIdempotent {
+	class NonIdempotent {
 
 		// The endpoint may have run the request before the connection broke. Sent again,
 		// the caller's record would be posted twice.
 		@ParameterizedTest
 		@EnumSource(value = AttemptEnd.class, names = { "FAILED", "BROKEN", "MISMATCH", "SILENT" })
-		void isNeverSentAgainOnceItMayHaveRun(AttemptEnd end) {
+		void isNotRetriedOnceItMayHaveRun(AttemptEnd end) {
 			for (RequestKind kind : List.of(RequestKind.UNSAFE, RequestKind.STREAM)) {
 				RequestProgress progress = sent(kind, false, end);
 				assertThat(progress.mayTryAgain()).isFalse();
@@ -51,7 +51,7 @@
 
 		@ParameterizedTest
 		@EnumSource(value = AttemptEnd.class, names = { "NOT_SENT", "NOT_RUN" })
-		void isSentAgainIfItIsCertainThatItDidNotRun(AttemptEnd end) {
+		void isRetriedIfItCertainlyDidNotRun(AttemptEnd end) {
 			RequestProgress progress = sent(RequestKind.UNSAFE, false, end);
 			assertThat(progress.mayTryAgain()).isTrue();
 			assertThat(progress.runState()).isEqualTo(RunState.NOT_RUN);
@@ -61,7 +61,7 @@
 		// The second endpoint states that it did not run the request, which says nothing
 		// of the first one. "Not run" would have the caller send it again.
 		@Test
-		void laterRefusalDoesNotClearAnEarlierRun() {
+		void laterRefusalDoesNotUndoAnEarlierAttemptThatMayHaveRun() {
 			RequestProgress progress = sent(RequestKind.SAFE, false, AttemptEnd.BROKEN);
 			progress.begin("b");
 			progress.sent();
@@ -70,7 +70,7 @@
 		}
 
 		@Test
-		void timeThatEndsWhileAnAttemptIsUnderWayPromisesNothing() {
+		void timeoutDuringAnAttemptDoesNotReportNotRun() {
 			RequestProgress progress = new RequestProgress(route(RequestKind.UNSAFE, false, 1));
 			progress.begin("a");
 			progress.sent();
@@ -83,7 +83,7 @@
 	class Attempts {
 
 		@Test
-		void noMoreThanTheRouteAllows() {
+		void areLimitedByTheRoute() {
 			RequestProgress progress = sent(RequestKind.SAFE, false, AttemptEnd.BROKEN);
 			assertThat(progress.mayTryAgain()).isTrue();
 			progress.begin("b");
@@ -97,7 +97,7 @@
 		// request, so that another one may; without it the caller gets a refusal while
 		// the next endpoint is idle.
 		@Test
-		void anAttemptThatWasTurnedAwayIsNotCounted() {
+		void refusedAttemptDoesNotCountTowardsTheLimit() {
 			RequestProgress progress = new RequestProgress(route(RequestKind.UNSAFE, false, 1));
 			progress.begin("a");
 			progress.sent();
@@ -111,7 +111,7 @@
 		}
 
 		@Test
-		void anAttemptThatSentNothingIsFree() {
+		void attemptThatSentNothingDoesNotMakeTheNextOneARetry() {
 			RequestProgress progress = sent(RequestKind.SAFE, false, AttemptEnd.NOT_SENT);
 			assertThat(progress.isRepeat()).isFalse();
 		}
@@ -122,7 +122,7 @@
 	class Streams {
 
 		@Test
-		void resumableStreamGoesOnAfterPartOfItWasPassedOn() {
+		void resumableStreamIsRetriedAfterPartOfItWasForwarded() {
 			RequestProgress progress = new RequestProgress(route(RequestKind.STREAM, true, 2));
 			progress.begin("a");
 			progress.sent();
@@ -132,7 +132,7 @@
 		}
 
 		@Test
-		void otherStreamDoesNot() {
+		void nonResumableStreamIsNotRetriedAfterPartOfItWasForwarded() {
 			RequestProgress progress = new RequestProgress(route(RequestKind.STREAM, false, 2));
 			progress.begin("a");
 			progress.sent();
