--- a/core/src/main/java/org/acaciacourse/core/delivery/AnswerSequence.java
+++ b/core/src/main/java/org/acaciacourse/core/delivery/AnswerSequence.java
@@ -11,7 +11,7 @@
  */
 public final class AnswerSequence {
 
-	private long passedOn;
+	private long forwarded;
 
 	private long currentAttempt;
 
@@ -35,13 +35,13 @@
 		if (this.ended || attemptId != this.currentAttempt) {
 			return Verdict.FOREIGN;
 		}
-		if (index < this.passedOn) {
+		if (index < this.forwarded) {
 			return Verdict.SKIP;
 		}
-		if (index > this.passedOn) {
+		if (index > this.forwarded) {
 			return Verdict.GAP;
 		}
-		this.passedOn++;
+		this.forwarded++;
 		return Verdict.PASS;
 	}
 
@@ -63,7 +63,7 @@
 	 * @return the number of tokens, where a resumed attempt goes on
 	 */
 	public long passedOn() {
-		return this.passedOn;
+		return this.forwarded;
 	}
 
 	/**
--- a/core/src/main/java/org/acaciacourse/core/delivery/RunLedger.java
+++ b/core/src/main/java/org/acaciacourse/core/delivery/RunLedger.java
@@ -41,12 +41,12 @@
 	/**
 	 * The endpoint said that it did not run the attempt.
 	 * @param attemptId the attempt
-	 * @param saidOf the id under which the endpoint said so
+	 * @param refusedAttemptId the id under which the endpoint said so
 	 * @return whether the refusal counts: it must name this attempt, and no byte of an
 	 * answer may have come before
 	 */
-	public boolean refused(long attemptId, long saidOf) {
-		if (saidOf != attemptId || this.attempts.get(attemptId) == Stage.RAN) {
+	public boolean refused(long attemptId, long refusedAttemptId) {
+		if (refusedAttemptId != attemptId || this.attempts.get(attemptId) == Stage.RAN) {
 			return false;
 		}
 		this.attempts.put(attemptId, Stage.REFUSED);
--- a/core/src/test/java/org/acaciacourse/core/delivery/AnswerSequenceTests.java
+++ b/core/src/test/java/org/acaciacourse/core/delivery/AnswerSequenceTests.java
@@ -22,7 +22,7 @@
 	// The stream breaks several times; each next attempt starts somewhere at or before
 	// the first missing token. The caller must see 0, 1, 2, ... without a gap or repeat.
 	@Property(tries = 2_000, seed = "4712")
-	void passesEachTokenOnOnceAndInOrder(
+	void forwardsEachTokenOnceAndInOrder(
 			@ForAll @Size(max = 6) List<@IntRange(min = 0, max = 30) Integer> attemptLengths) {
 		AnswerSequence sequence = new AnswerSequence();
 		List<Long> seen = new ArrayList<>();
@@ -39,12 +39,12 @@
 	}
 
 	@Nested
-	class Foreign {
+	class UnexpectedTokens {
 
 		// A hedge lost, or an attempt was given up, and its tokens still come in late.
 		// Passing them on would put another attempt's text into this answer.
 		@Test
-		void tokensOfAnAttemptThatWasGivenUpAreDiscarded() {
+		void tokensOfAnAbandonedAttemptAreDiscarded() {
 			AnswerSequence sequence = new AnswerSequence();
 			sequence.follow(1);
 			sequence.token(1, 0);
@@ -55,7 +55,7 @@
 		}
 
 		@Test
-		void aGapIsNotPassedOn() {
+		void tokensAfterAGapAreNotForwarded() {
 			AnswerSequence sequence = new AnswerSequence();
 			sequence.follow(1);
 			assertThat(sequence.token(1, 1)).isEqualTo(Verdict.GAP);
--- a/core/src/test/java/org/acaciacourse/core/delivery/RunLedgerTests.java
+++ b/core/src/test/java/org/acaciacourse/core/delivery/RunLedgerTests.java
@@ -34,7 +34,7 @@
 	// fake endpoint runs an attempt whenever its bytes arrive and it does not refuse it.
 	// If it ever ran one, the caller would have had it done twice.
 	@Property(tries = 20_000, seed = "4711")
-	void neverSaysNotRunOfARequestThatRan(@ForAll("interleavings") List<Step> steps) {
+	void neverReportsNotRunForARequestThatRan(@ForAll("interleavings") List<Step> steps) {
 		RunLedger ledger = new RunLedger();
 		FakeEndpoint endpoint = new FakeEndpoint();
 		for (Step step : steps) {
@@ -114,7 +114,7 @@
 	class State {
 
 		@Test
-		void isNotRunWhileNothingWasHandedToAConnection() {
+		void isNotRunWhileNothingWasWrittenToAConnection() {
 			RunLedger ledger = new RunLedger();
 			ledger.begin(1);
 			assertThat(ledger.state()).isEqualTo(RunState.NOT_RUN);
@@ -133,7 +133,7 @@
 		}
 
 		@Test
-		void isAsBadAsTheWorstAttempt() {
+		void isThatOfTheAttemptMostLikelyToHaveRun() {
 			RunLedger ledger = new RunLedger();
 			ledger.begin(1);
 			ledger.mayReach(1);
