--- a/core/src/main/java/org/acaciacourse/core/state/ClaimKey.java
+++ b/core/src/main/java/org/acaciacourse/core/state/ClaimKey.java
@@ -3,12 +3,12 @@
 import java.util.Objects;
 
 /**
- * What a claim is filed under.
+ * The key that identifies a claim.
  * <p>
  * Immutable and thread safe.
  *
  * @param customer the name of the customer
- * @param idempotencyKey the key that the caller gave
+ * @param idempotencyKey the idempotency key that the client sent
  */
 public record ClaimKey(String customer, String idempotencyKey) {
 
--- a/core/src/main/java/org/acaciacourse/core/state/ClaimOutcome.java
+++ b/core/src/main/java/org/acaciacourse/core/state/ClaimOutcome.java
@@ -1,27 +1,27 @@
 package org.acaciacourse.core.state;
 
 /**
- * How a claimed request ended.
+ * The outcome of a claimed request.
  * <p>
  * Immutable and thread safe.
  */
 public enum ClaimOutcome {
 
-	/** Claimed and not ended. */
+	/** Claimed; the request has not ended yet. */
 	IN_PROGRESS,
 
-	/** Ran, and the answer is known. */
+	/** The request ran and its response is known. */
 	ANSWERED,
 
-	/** Proven not to have run; the key may be claimed anew. */
+	/** The request certainly did not run; the key may be claimed again. */
 	NOT_RUN,
 
-	/** May have run. */
+	/** The request may have run. */
 	UNKNOWN;
 
 	/**
 	 * Return whether the same key may be claimed again.
-	 * @return whether a new claim may run
+	 * @return whether a new claim may be granted
 	 */
 	public boolean permitsNewClaim() {
 		return this == NOT_RUN;
--- a/core/src/main/java/org/acaciacourse/core/state/ClaimTable.java
+++ b/core/src/main/java/org/acaciacourse/core/state/ClaimTable.java
@@ -13,14 +13,16 @@
 import org.acaciacourse.core.state.ControlStateSnapshot.ClaimRecord;
 
 /**
- * Claims of requests that may not be repeated. Invariants: at most one owner is granted a
- * claim until it is proven that its request was not run; that a request ran or may have
- * run is not forgotten before it expires, whatever the load; at the bound on kept bytes
- * the oldest answers go first, then new claims are refused at the bound on their count.
+ * Claims on requests that must run at most once. Invariants: a key is granted to at most
+ * one owner until its request is known not to have run; the fact that a request ran or
+ * may have run is retained until it expires, whatever the load; when the stored responses
+ * exceed their size limit the oldest are evicted, and when the number of claims reaches
+ * its limit new claims are refused.
  * <p>
- * An owner is a run of an entry VM, best followed by {@value #OWNER_SEPARATOR} and a
- * number that the run uses for one request only. With the number a resent claim or
- * completion is told from the one of a later request with the same key.
+ * An owner is the id of one process run of an entry VM. It should be followed by
+ * {@value #OWNER_SEPARATOR} and a number that the process uses for a single request. The
+ * number distinguishes a resent claim or completion from that of a later request with the
+ * same key.
  * <p>
  * Not thread safe: belongs to one {@link ControlState}.
  */
@@ -34,13 +36,16 @@
 
 	static final long MAX_STORED_RESPONSE_BYTES = 16L * 1024 * 1024;
 
-	/** How long it is known that a request ran or may have run. */
+	/** How long the fact that a request ran or may have run is retained. */
 	static final long RETENTION_MILLIS = Duration.ofHours(24).toMillis();
 
-	/** No request runs that long: its owner is gone without a trace. */
+	/**
+	 * Age at which an open claim becomes unknown. No request runs this long, so its owner
+	 * must have ended without reporting an outcome.
+	 */
 	static final long ABANDON_TIMEOUT_MILLIS = Duration.ofHours(24).toMillis();
 
-	/** In the order of their last change, so that the first ones expire first. */
+	/** In the order of their last change: the first entries expire first. */
 	private final Map<ClaimKey, ClaimRecord> claims = new LinkedHashMap<>();
 
 	private final Set<ClaimKey> keysWithResponse = new LinkedHashSet<>();
@@ -57,7 +62,8 @@
 			return resultForExisting(old, command);
 		}
 		if (old != null && old.owner().equals(command.owner()) && isSingleUse(command.owner())) {
-			// A resend that arrives after its request ended must not claim again.
+			// A delayed resend of a claim whose request has ended must not be granted
+			// again.
 			return new ClaimResult(ResultCode.CLAIM_UNAVAILABLE, false, ClaimOutcome.NOT_RUN, Optional.empty());
 		}
 		if (old == null && this.claims.size() >= MAX_CLAIMS && !evictOneNotRun()) {
@@ -132,7 +138,8 @@
 			return new ClaimResult(ResultCode.CLAIM_CONTENT_DIFFERS, false, old.outcome(), Optional.empty());
 		}
 		if (old.outcome() == ClaimOutcome.IN_PROGRESS) {
-			// The owner's own resend after a lost answer: it alone waits for this claim.
+			// The owner resends its claim after a lost reply. Nobody else holds the
+			// claim, so it is granted again.
 			boolean resend = old.owner().equals(command.owner()) && isSingleUse(command.owner());
 			return new ClaimResult((resend) ? ResultCode.OK : ResultCode.CLAIM_IN_PROGRESS, resend, old.outcome(),
 					Optional.empty());
@@ -167,12 +174,12 @@
 			ClaimRecord claim = this.claims.get(oldest);
 			this.keysWithResponse.remove(oldest);
 			this.storedResponseBytes -= claim.answer().get().length;
-			// Replaces the value in place: the order of the last changes stays.
+			// Replacing the value of an existing key keeps the order of last changes.
 			this.claims.put(oldest, claim.withoutResponse());
 		}
 	}
 
-	// A request that was not run leaves no fact that a claim has to guard.
+	// A request that did not run has no outcome that must be retained.
 	private boolean evictOneNotRun() {
 		Optional<ClaimKey> evictable = this.claims.values()
 			.stream()
--- a/core/src/main/java/org/acaciacourse/core/state/Command.java
+++ b/core/src/main/java/org/acaciacourse/core/state/Command.java
@@ -5,29 +5,30 @@
 import org.acaciacourse.core.manifest.ManifestDelta;
 
 /**
- * The commands of the replicated state machine {@link ControlState}. Each carries the
- * time at which the leader proposed it, so that every replica expires the same things at
- * the same entry; the state's time never goes back.
+ * The commands of the replicated state machine {@link ControlState}. Each command carries
+ * the time at which the leader proposed it, so that every replica expires the same leases
+ * and claims at the same log entry. The logical time of the state machine never goes
+ * back.
  * <p>
  * Immutable and thread safe.
  */
 public sealed interface Command {
 
 	/**
-	 * Return the proposer's time, which {@link ProposalClock} yields.
+	 * Return the time of the proposal, taken from the leader's {@link ProposalClock}.
 	 * @return milliseconds since the epoch
 	 */
 	long proposedAt();
 
 	/**
-	 * Take a manifest into force.
+	 * Activate a manifest.
 	 *
-	 * @param proposedAt the proposer's wall-clock time in milliseconds since the epoch
+	 * @param proposedAt the time of the proposal in milliseconds since the epoch
 	 * @param number the number of the manifest
 	 * @param digest the digest of the whole manifest
-	 * @param baseDigest the digest of the manifest that the delta starts from
+	 * @param baseDigest the digest of the manifest that the delta is based on
 	 * @param delta the sections that differ
-	 * @param operator who handed it in
+	 * @param operator the operator who submitted it
 	 */
 	record PutManifest(long proposedAt, long number, String digest, String baseDigest, ManifestDelta delta,
 			String operator) implements Command {
@@ -44,66 +45,67 @@
 	/**
 	 * Acquire or renew a lease.
 	 *
-	 * @param proposedAt the proposer's wall-clock time in milliseconds since the epoch
+	 * @param proposedAt the time of the proposal in milliseconds since the epoch
 	 * @param lease the name of the lease
-	 * @param holder who wants it: unique to one run of one process
-	 * @param durationMillis how long it is to hold
+	 * @param holder the id of the requesting process, unique to each run of it
+	 * @param durationMillis the requested duration
 	 */
 	record AcquireLease(long proposedAt, String lease, String holder, long durationMillis) implements Command {
 	}
 
 	/**
-	 * Give a lease back.
+	 * Release a lease.
 	 *
-	 * @param proposedAt the proposer's wall-clock time in milliseconds since the epoch
+	 * @param proposedAt the time of the proposal in milliseconds since the epoch
 	 * @param lease the name of the lease
-	 * @param holder who holds it
-	 * @param fencingNumber the number it was acquired with
+	 * @param holder the id of the holder
+	 * @param fencingNumber the fencing number that it was acquired with
 	 */
 	record ReleaseLease(long proposedAt, String lease, String holder, long fencingNumber) implements Command {
 	}
 
 	/**
-	 * Claim a request that may not be repeated, before it is sent.
+	 * Claim a request that must run at most once, before it is sent.
 	 *
-	 * @param proposedAt the proposer's wall-clock time in milliseconds since the epoch
-	 * @param key who claims what
+	 * @param proposedAt the time of the proposal in milliseconds since the epoch
+	 * @param key the customer and its idempotency key
 	 * @param contentHash a hash of method, path and body
-	 * @param owner the run of the entry VM that will send it, best with # and a number
-	 * that the run uses for this request only
+	 * @param owner the id of the process run of the entry VM that will send it,
+	 * preferably followed by # and a number that the process uses for this request only
 	 */
 	record Claim(long proposedAt, ClaimKey key, String contentHash, String owner) implements Command {
 	}
 
 	/**
-	 * Record how a claimed request ended.
+	 * Record the outcome of a claimed request.
 	 *
-	 * @param proposedAt the proposer's wall-clock time in milliseconds since the epoch
+	 * @param proposedAt the time of the proposal in milliseconds since the epoch
 	 * @param key the key of the claim
 	 * @param owner the owner that made the claim
-	 * @param outcome how it ended
-	 * @param answer the whole answer if it is to be kept, else empty
+	 * @param outcome the outcome
+	 * @param answer the whole response if it is to be stored, otherwise empty
 	 */
 	record CompleteClaim(long proposedAt, ClaimKey key, String owner, ClaimOutcome outcome,
 			byte[] answer) implements Command {
 	}
 
 	/**
-	 * The entry VM's run is over: what it held and did not complete is unknown from now
-	 * on.
+	 * End a process run of an entry VM. The outcome of the claims that it did not
+	 * complete becomes unknown.
 	 *
-	 * @param proposedAt the proposer's wall-clock time in milliseconds since the epoch
-	 * @param owner the run of the entry VM, without a number
+	 * @param proposedAt the time of the proposal in milliseconds since the epoch
+	 * @param owner the id of the process run, without a request number
 	 */
 	record EndOwner(long proposedAt, String owner) implements Command {
 	}
 
 	/**
-	 * Record how many endpoints a content is proven to have crashed.
+	 * Record how many endpoints a request content is known to have crashed.
 	 *
-	 * @param proposedAt the proposer's wall-clock time in milliseconds since the epoch
+	 * @param proposedAt the time of the proposal in milliseconds since the epoch
 	 * @param contentHash the hash of the customer and the content
-	 * @param crashes the number of proven crashes; the highest one stays
+	 * @param crashes the number of crashes; the highest number reported is kept, except
+	 * that 0 clears a single crash
 	 */
 	record ReportCrash(long proposedAt, long contentHash, int crashes) implements Command {
 	}
--- a/core/src/main/java/org/acaciacourse/core/state/CommandResult.java
+++ b/core/src/main/java/org/acaciacourse/core/state/CommandResult.java
@@ -6,32 +6,34 @@
 import org.acaciacourse.core.code.ResultCode;
 
 /**
- * What applying a command yielded. Every replica computes the same result; the leader
- * that proposed the command answers its caller with it.
+ * The result of applying a command. Every replica computes the same result; the leader
+ * that proposed the command returns it to the requester.
  * <p>
- * Immutable and thread safe as long as nobody writes to a kept answer.
+ * Immutable and thread safe as long as the byte array of a stored response is not
+ * modified.
  */
 public sealed interface CommandResult {
 
 	/**
-	 * Return the code.
-	 * @return the code that the caller gets
+	 * Return the result code.
+	 * @return the code that the requester receives
 	 */
 	ResultCode code();
 
 	/**
-	 * The result of a manifest. {@link ResultCode#MANIFEST_BASE_CHANGED} asks the leader
-	 * to compute the delta again from the document in force; an operator does not see it.
+	 * The result of submitting a manifest. {@link ResultCode#MANIFEST_BASE_CHANGED} tells
+	 * the leader to recompute the delta from the active document; it is not shown to
+	 * operators.
 	 *
 	 * @param code the code
-	 * @param number the number in force after the command
-	 * @param digest the digest in force after the command
+	 * @param number the number of the active manifest after the command
+	 * @param digest the digest of the active manifest after the command
 	 */
 	record ManifestResult(ResultCode code, long number, String digest) implements CommandResult {
 
 		/**
-		 * Return whether the leader has to compute the delta again and propose anew.
-		 * @return whether the base of the delta was not in force
+		 * Return whether the leader must recompute the delta and propose it again.
+		 * @return whether the delta is not based on the active manifest
 		 */
 		public boolean baseChanged() {
 			return this.code == ResultCode.MANIFEST_BASE_CHANGED;
@@ -44,9 +46,9 @@
 	 *
 	 * @param code {@link ResultCode#OK}, {@link ResultCode#LEASE_HELD} or
 	 * {@link ResultCode#FENCED}
-	 * @param holder who holds the lease after the command, empty if nobody
-	 * @param fencingNumber the number it is held with, or was held with last
-	 * @param remainingMillis how long it will hold by the state's time
+	 * @param holder the holder of the lease after the command, empty if it is not held
+	 * @param fencingNumber the fencing number of the lease, current or last
+	 * @param remainingMillis the logical time that is left until the lease expires
 	 */
 	record LeaseResult(ResultCode code, String holder, long fencingNumber,
 			long remainingMillis) implements CommandResult {
@@ -55,11 +57,11 @@
 	/**
 	 * The result of a claim or of its completion.
 	 *
-	 * @param code {@link ResultCode#OK} if granted, completed or answered before, else
-	 * the reason
+	 * @param code {@link ResultCode#OK} if the claim was granted or completed or its
+	 * stored response is returned, otherwise the reason
 	 * @param granted whether the owner may send the request
-	 * @param outcome how the first request with the key stands
-	 * @param answer the kept answer, if there is one
+	 * @param outcome the outcome of the first request with the key
+	 * @param answer the stored response, if there is one
 	 */
 	record ClaimResult(ResultCode code, boolean granted, ClaimOutcome outcome,
 			Optional<byte[]> answer) implements CommandResult {
@@ -72,7 +74,7 @@
 	}
 
 	/**
-	 * The result of a command that cannot be refused.
+	 * The result of a command that is never refused.
 	 *
 	 * @param code {@link ResultCode#OK}
 	 */
--- a/core/src/main/java/org/acaciacourse/core/state/ControlState.java
+++ b/core/src/main/java/org/acaciacourse/core/state/ControlState.java
@@ -15,13 +15,13 @@
 
 /**
  * The replicated state machine, after Schneider, "Implementing Fault-Tolerant Services
- * Using the State Machine Approach" (1990). Invariants: its content depends on nothing
- * but the commands applied, in their order; its time is the highest
- * {@link Command#proposedAt()} seen and never goes back; entries are applied once each,
- * in the order of their indexes.
+ * Using the State Machine Approach" (1990). Invariants: its content depends only on the
+ * commands applied and their order; its logical time is the highest
+ * {@link Command#proposedAt()} applied and never goes back; each entry is applied once,
+ * in the order of the indexes.
  * <p>
- * Not thread safe: the replica's thread applies commands and answers queries; what
- * queries return is immutable and may be handed on.
+ * Not thread safe: the replica's thread applies commands and runs queries; the objects
+ * that queries return are immutable and may be passed to other threads.
  */
 public final class ControlState {
 
@@ -38,7 +38,7 @@
 	private long time;
 
 	/**
-	 * Make the state before the first entry.
+	 * Create the initial state, before the first entry.
 	 */
 	public ControlState() {
 		this(new ControlStateSnapshot(0, 0,
@@ -56,7 +56,7 @@
 	}
 
 	/**
-	 * Make the state that a snapshot holds.
+	 * Create a state from a snapshot.
 	 * @param snapshot the snapshot
 	 * @return the state
 	 */
@@ -65,7 +65,7 @@
 	}
 
 	/**
-	 * Return the whole state.
+	 * Return a snapshot of the whole state.
 	 * @return the snapshot
 	 */
 	public ControlStateSnapshot snapshot() {
@@ -76,9 +76,9 @@
 
 	/**
 	 * Apply a committed command.
-	 * @param index the index of its entry, above that of the command before
+	 * @param index the index of its log entry, higher than that of the previous command
 	 * @param command the command
-	 * @return what the caller of the command gets
+	 * @return the result for the requester
 	 */
 	public CommandResult apply(long index, Command command) {
 		if (index <= this.appliedIndex) {
@@ -112,15 +112,15 @@
 	}
 
 	/**
-	 * Return the last entry applied.
-	 * @return its index, 0 before the first one
+	 * Return the index of the last log entry applied.
+	 * @return the index, 0 before the first entry
 	 */
 	public long appliedIndex() {
 		return this.appliedIndex;
 	}
 
 	/**
-	 * Return the state's time.
+	 * Return the logical time of the state machine.
 	 * @return milliseconds since the epoch, 0 before the first command
 	 */
 	public long time() {
@@ -128,7 +128,7 @@
 	}
 
 	/**
-	 * Return the sections in force.
+	 * Return the document of the active manifest.
 	 * @return the document
 	 */
 	public ManifestDocument document() {
@@ -136,7 +136,7 @@
 	}
 
 	/**
-	 * Return the number in force.
+	 * Return the number of the active manifest.
 	 * @return the number, 0 before the first manifest
 	 */
 	public long number() {
@@ -144,25 +144,25 @@
 	}
 
 	/**
-	 * Return the digest in force.
-	 * @return the digest, before the first manifest that of the empty document
+	 * Return the digest of the active manifest.
+	 * @return the digest; before the first manifest, that of the empty document
 	 */
 	public String digest() {
 		return this.manifests.active().digest();
 	}
 
 	/**
-	 * Work out what leads a follower to the manifest in force.
-	 * @param number the follower's number
-	 * @param digest the follower's digest
-	 * @return the delta, or nothing if the follower needs the whole document
+	 * Compute the delta from a follower's manifest to the active one.
+	 * @param number the number of the follower's manifest
+	 * @param digest the digest of the follower's manifest
+	 * @return the delta, or empty if the follower needs the whole document
 	 */
 	public Optional<ManifestDelta> deltaFrom(long number, String digest) {
 		return this.manifests.deltaFrom(number, digest);
 	}
 
 	/**
-	 * Return who holds a lease by the state's time.
+	 * Return a lease that is held at the current logical time.
 	 * @param name the name of the lease
 	 * @return the lease, if it is held
 	 */
@@ -171,8 +171,8 @@
 	}
 
 	/**
-	 * Return whether any lease is held by the state's time.
-	 * @return whether a jump of the time could end a lease
+	 * Return whether any lease is held at the current logical time.
+	 * @return whether a jump of the logical time could expire a lease
 	 */
 	public boolean isAnyLeaseHeld() {
 		return this.leases.leases().stream().anyMatch((lease) -> lease.expiresAt() > this.time);
@@ -180,8 +180,8 @@
 
 	/**
 	 * Return a claim.
-	 * @param key what it is filed under
-	 * @return the claim, if it is known
+	 * @param key the key of the claim
+	 * @return the claim, if there is one
 	 */
 	public Optional<ClaimRecord> claim(ClaimKey key) {
 		return this.claims.get(key);
@@ -190,22 +190,22 @@
 	/**
 	 * Return the crash reports that changed after a revision.
 	 * @param revision the revision
-	 * @return the reports by revision
+	 * @return the reports, ordered by revision
 	 */
 	public List<CrashRecord> crashesSince(long revision) {
 		return this.crashes.since(revision);
 	}
 
 	/**
-	 * Return the latest records of the audit log.
-	 * @return the records, oldest first
+	 * Return the latest entries of the audit log.
+	 * @return the entries, oldest first
 	 */
 	public List<AuditEntry> audit() {
 		return this.manifests.audit();
 	}
 
 	/**
-	 * Count what is kept.
+	 * Return the size of the state.
 	 * @return the statistics
 	 */
 	public Statistics statistics() {
@@ -214,14 +214,14 @@
 	}
 
 	/**
-	 * How much is kept.
+	 * The size of the state.
 	 *
 	 * @param claims the number of claims
-	 * @param storedResponseBytes the bytes of the answers kept
+	 * @param storedResponseBytes the total size of the stored responses in bytes
 	 * @param leases the number of leases
-	 * @param fencingNumber the highest fencing number given out
+	 * @param fencingNumber the highest fencing number issued
 	 * @param crashRevision the revision of the latest crash report
-	 * @param manifestChanges the number of manifest changes that deltas can be made from
+	 * @param manifestChanges the number of manifest changes kept for computing deltas
 	 */
 	public record Statistics(int claims, long storedResponseBytes, int leases, long fencingNumber, long crashRevision,
 			int manifestChanges) {
--- a/core/src/main/java/org/acaciacourse/core/state/ControlStateSnapshot.java
+++ b/core/src/main/java/org/acaciacourse/core/state/ControlStateSnapshot.java
@@ -8,21 +8,22 @@
 import org.acaciacourse.core.manifest.ManifestDocument;
 
 /**
- * The whole of a {@link ControlState}, for serialisation. Lists are in an order that
- * depends only on the commands applied.
+ * A snapshot of a {@link ControlState}, for serialization. The order of each list depends
+ * only on the commands applied.
  * <p>
- * Immutable and thread safe as long as nobody writes to a kept answer.
+ * Immutable and thread safe as long as the byte array of a stored response is not
+ * modified.
  *
- * @param appliedIndex the last entry applied
- * @param time the state's time in milliseconds since the epoch
- * @param manifest the manifest in force
- * @param history the latest changes, oldest first
- * @param audit the latest audit records, oldest first
- * @param fencingNumber the highest fencing number given out
- * @param leases the leases held, by name
+ * @param appliedIndex the index of the last log entry applied
+ * @param time the logical time in milliseconds since the epoch
+ * @param manifest the active manifest
+ * @param history the latest manifest changes, oldest first
+ * @param audit the latest entries of the audit log, oldest first
+ * @param fencingNumber the highest fencing number issued
+ * @param leases the leases, ordered by name
  * @param claims the claims, in the order of their last change
  * @param crashRevision the revision of the latest crash report
- * @param crashes the crash reports by revision
+ * @param crashes the crash reports, ordered by revision
  */
 public record ControlStateSnapshot(long appliedIndex, long time, ManifestInForce manifest, List<ManifestChange> history,
 		List<AuditEntry> audit, long fencingNumber, List<Lease> leases, List<ClaimRecord> claims, long crashRevision,
@@ -38,9 +39,9 @@
 	}
 
 	/**
-	 * The manifest in force.
+	 * The active manifest.
 	 *
-	 * @param number its number, 0 before the first one
+	 * @param number its number, 0 before the first manifest
 	 * @param digest its digest
 	 * @param document its sections
 	 */
@@ -50,34 +51,34 @@
 	/**
 	 * A change from one manifest to the next.
 	 *
-	 * @param number the number it led to
-	 * @param digest the digest it led to
-	 * @param baseNumber the number it started from
-	 * @param baseDigest the digest it started from
+	 * @param number the number of the new manifest
+	 * @param digest the digest of the new manifest
+	 * @param baseNumber the number of the previous manifest
+	 * @param baseDigest the digest of the previous manifest
 	 * @param delta the sections that differ
 	 */
 	public record ManifestChange(long number, String digest, long baseNumber, String baseDigest, ManifestDelta delta) {
 	}
 
 	/**
-	 * A record of the audit log.
+	 * An entry of the audit log.
 	 *
-	 * @param at the state's time in milliseconds since the epoch
-	 * @param operator who handed the manifest in
+	 * @param at the logical time in milliseconds since the epoch
+	 * @param operator the operator who submitted the manifest
 	 * @param number the number of the manifest
 	 * @param digest its digest
-	 * @param changedSections how many sections differ from the one before
+	 * @param changedSections how many sections differ from the previous manifest
 	 */
 	public record AuditEntry(long at, String operator, long number, String digest, int changedSections) {
 	}
 
 	/**
-	 * A lease that is held.
+	 * A lease.
 	 *
 	 * @param name its name
-	 * @param holder who holds it
-	 * @param fencingNumber the number it was acquired with
-	 * @param expiresAt when it ends, by the state's time
+	 * @param holder the id of the holder
+	 * @param fencingNumber the fencing number that it was acquired with
+	 * @param expiresAt the logical time at which it expires
 	 */
 	public record Lease(String name, String holder, long fencingNumber, long expiresAt) {
 	}
@@ -85,12 +86,12 @@
 	/**
 	 * A claim.
 	 *
-	 * @param key what it is filed under
-	 * @param contentHash the hash of the content it was made for
-	 * @param owner who made it
-	 * @param outcome how it stands
-	 * @param changedAt the state's time of its last change
-	 * @param answer the answer, if it is kept
+	 * @param key its key
+	 * @param contentHash the hash of the claimed request's content
+	 * @param owner the owner that made it
+	 * @param outcome the outcome of the request so far
+	 * @param changedAt the logical time of its last change
+	 * @param answer the response, if it is stored
 	 */
 	public record ClaimRecord(ClaimKey key, String contentHash, String owner, ClaimOutcome outcome, long changedAt,
 			Optional<byte[]> answer) {
@@ -116,7 +117,8 @@
 	 * A crash report.
 	 *
 	 * @param contentHash the hash of the customer and the content
-	 * @param crashes the highest number of proven crashes reported
+	 * @param crashes the number of proven crashes, the highest reported; 1 is a suspicion
+	 * and 0 a cleared one
 	 * @param revision the revision of its last change
 	 */
 	public record CrashRecord(long contentHash, int crashes, long revision) {
--- a/core/src/main/java/org/acaciacourse/core/state/CrashTable.java
+++ b/core/src/main/java/org/acaciacourse/core/state/CrashTable.java
@@ -9,9 +9,10 @@
 import org.acaciacourse.core.state.ControlStateSnapshot.CrashRecord;
 
 /**
- * How many endpoints each content is proven to have crashed. Invariants: the count of a
- * content never falls while it is kept; the revision grows with each change; at the bound
- * the report changed longest ago goes.
+ * The number of endpoints that each request content is known to have crashed. Invariants:
+ * the count of a content never decreases while it is kept, except that a suspicion may be
+ * cleared; the revision increases with each change; at the size limit the report that
+ * changed least recently is evicted.
  * <p>
  * Not thread safe: belongs to one {@link ControlState}.
  */
@@ -19,7 +20,7 @@
 
 	static final int MAX_CRASHES = 10_000;
 
-	/** One crash, which proves nothing of a single content. */
+	/** A single crash makes a content a suspect; it does not prove the cause. */
 	private static final int SUSPECT_CRASHES = 1;
 
 	private final Map<Long, CrashRecord> byContent = new HashMap<>();
@@ -33,8 +34,9 @@
 		crashes.forEach(this::put);
 	}
 
-	// A suspicion is cleared by a report of 0, which followers must hear of: they try
-	// suspects one after the other and would wait for this one. A proof is not cleared.
+	// A report of 0 clears a suspicion. Followers must receive this change: they try
+	// suspects one at a time and would otherwise keep waiting for this one. Two or more
+	// crashes are proof and are not cleared.
 	private static boolean isChange(CrashRecord old, int crashes) {
 		if (old == null) {
 			return crashes > 0;
--- a/core/src/main/java/org/acaciacourse/core/state/LeaseTable.java
+++ b/core/src/main/java/org/acaciacourse/core/state/LeaseTable.java
@@ -12,8 +12,8 @@
 
 /**
  * Leases with fencing numbers, after Gray and Cheriton, "Leases" (1989). Invariants: a
- * lease has one holder until it is released or its time has passed; a fencing number is
- * given out once and only grows, over release and expiry and over all leases.
+ * lease has one holder until it is released or expires; each fencing number is issued
+ * once, and the numbers increase across releases, expiries and all leases.
  * <p>
  * Not thread safe: belongs to one {@link ControlState}.
  */
@@ -21,7 +21,7 @@
 
 	static final int MAX_LEASES = 1_000;
 
-	/** A holder that fails blocks its successor for no longer. */
+	/** Bounds how long a failed holder blocks its successor. */
 	static final long MAX_DURATION_MILLIS = Duration.ofMinutes(10).toMillis();
 
 	private final Map<String, Lease> leases = new TreeMap<>();
--- a/core/src/main/java/org/acaciacourse/core/state/ManifestStore.java
+++ b/core/src/main/java/org/acaciacourse/core/state/ManifestStore.java
@@ -18,8 +18,9 @@
 import org.acaciacourse.core.state.ControlStateSnapshot.ManifestInForce;
 
 /**
- * The manifest in force, the latest changes and the audit log. Invariants: the number in
- * force only grows; the changes kept are a chain that ends at the manifest in force.
+ * The active manifest, its latest changes and the audit log. Invariants: the number of
+ * the active manifest only increases; the changes kept form a chain that ends at the
+ * active manifest.
  * <p>
  * Not thread safe: belongs to one {@link ControlState}.
  */
@@ -27,7 +28,7 @@
 
 	static final int MAX_CHANGES = 512;
 
-	/** Bounds the memory of the history when each manifest differs in many sections. */
+	/** Bounds the memory of the history when each change affects many sections. */
 	static final int MAX_CHANGED_SECTIONS = 20_000;
 
 	static final int MAX_AUDIT_ENTRIES = 1_000;
@@ -52,7 +53,7 @@
 			return result(ResultCode.MANIFEST_OUTDATED);
 		}
 		if (command.number() == this.active.number()) {
-			// A resend after a lost answer gets the answer of the first time.
+			// A resend after a lost reply gets the original result.
 			boolean same = command.digest().equals(this.active.digest());
 			return result((same) ? ResultCode.OK : ResultCode.MANIFEST_CONFLICT);
 		}
--- a/core/src/main/java/org/acaciacourse/core/state/ProposalClock.java
+++ b/core/src/main/java/org/acaciacourse/core/state/ProposalClock.java
@@ -1,19 +1,20 @@
 package org.acaciacourse.core.state;
 
 /**
- * Yields {@link Command#proposedAt()} for a leader. Leases end by the state's time, so it
- * must not run ahead of real time: with plain wall clocks, a new leader whose clock is
- * ten seconds ahead would give a lease away while its holder still relies on it.
- * Therefore a leader goes on from the time that the state has, at the rate of its
- * monotonic clock. Time that passed without a leader is lost, which only makes leases
- * longer; the clock makes it up at one part in {@value #CATCH_UP_DIVISOR}, which holders
- * include in their drift bound, or at once when nobody holds a lease.
+ * Provides {@link Command#proposedAt()} for a leader. Leases expire by the logical time
+ * of the state machine, so that time must not run ahead of real time: with plain wall
+ * clocks, a new leader whose clock is ten seconds ahead would grant a lease to another
+ * process while its holder still relies on it. A leader therefore continues from the
+ * logical time of the state, at the rate of its own monotonic clock. Time that passes
+ * without a leader is not counted, which only makes leases longer. The clock catches up
+ * with the wall clock by one part in {@value #CATCH_UP_DIVISOR}, which lease holders
+ * include in their drift bound, or at once when no lease is held.
  * <p>
- * Invariants: what it yields never goes back; while a lease is held it grows by no more
- * than the time passed and the catch-up.
+ * Invariants: the time never goes back; while a lease is held it advances by no more than
+ * the elapsed time plus the catch-up.
  * <p>
- * Not thread safe: belongs to one leader. A new one is made for each leadership, after
- * the leader has applied the first entry of its term.
+ * Not thread safe: belongs to one leader. A new clock is created for each term, after the
+ * leader has applied the first entry of that term.
  */
 public final class ProposalClock {
 
@@ -26,10 +27,10 @@
 	private long lastReadNanos;
 
 	/**
-	 * Start a clock.
+	 * Create a clock.
 	 * @param state the state, with all entries of earlier terms applied
 	 * @param wallMillis this VM's wall clock, in milliseconds since the epoch
-	 * @param nowNanos this VM's monotonic clock
+	 * @param nowNanos this VM's monotonic clock, in nanoseconds
 	 */
 	public ProposalClock(ControlState state, long wallMillis, long nowNanos) {
 		long start = (state.isAnyLeaseHeld()) ? state.time() : Math.max(state.time(), wallMillis);
@@ -38,11 +39,11 @@
 	}
 
 	/**
-	 * Return the time for a command. A wall clock that is set forward is followed only at
-	 * the rate of the catch-up.
-	 * @param wallMillis this VM's wall clock
-	 * @param nowNanos this VM's monotonic clock
-	 * @return milliseconds since the epoch, nearly
+	 * Return the time for a new command. When the wall clock is set forward, the returned
+	 * time follows it only at the catch-up rate.
+	 * @param wallMillis this VM's wall clock, in milliseconds since the epoch
+	 * @param nowNanos this VM's monotonic clock, in nanoseconds
+	 * @return approximately the milliseconds since the epoch
 	 */
 	public long proposedAt(long wallMillis, long nowNanos) {
 		long elapsed = Math.max(0, nowNanos - this.lastReadNanos);
--- a/core/src/main/java/org/acaciacourse/core/state/package-info.java
+++ b/core/src/main/java/org/acaciacourse/core/state/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The replicated state machine: configuration, leases, claims and crash reports.
+ * The replicated state machine: manifest, leases, idempotency claims and crash reports.
  */
 package org.acaciacourse.core.state;
--- a/core/src/test/java/org/acaciacourse/core/state/ControlStateTests.java
+++ b/core/src/test/java/org/acaciacourse/core/state/ControlStateTests.java
@@ -43,9 +43,9 @@
 
 		@Test
 		void resendGetsTheOriginalResultAndADifferentManifestWithThatNumberConflicts() {
-			// Two operators race with equal numbers, and the first resends because its
-			// answer was lost. The second must learn what is in force, the first must
-			// not be told that it lost against itself.
+			// Two operators submit manifests with the same number, and the first resends
+			// because its reply was lost. The second must get the active manifest with
+			// its conflict; the first must not get a conflict with its own manifest.
 			ManifestDocument first = document("1");
 			assertThat(put(5, first, ManifestDocument.empty()).code()).isEqualTo(ResultCode.OK);
 			assertThat(put(5, first, ManifestDocument.empty()))
@@ -137,9 +137,9 @@
 
 		@Test
 		void lateCompletionDoesNotEndALaterClaim() {
-			// The entry VM proves a request not run, its caller sends it again, and the
-			// first completion arrives once more from a slow connection. If it counted
-			// for the second request, a third one would run beside it.
+			// A request ends as not run, the client sends it again, and a copy of the
+			// first completion arrives late over a slow connection. If it ended the
+			// claim of the second request, a third one could run concurrently.
 			claim(0, KEY, "vm1#1");
 			complete(KEY, "vm1#1", ClaimOutcome.NOT_RUN, new byte[0]);
 			assertThat(claim(0, KEY, "vm1#2").granted()).isTrue();
@@ -191,8 +191,8 @@
 			assertThat(state.crashesSince(1)).hasSize(1);
 		}
 
-		// A suspect was cleared by the VM that tried it, but the others never heard of
-		// it and held their own suspects back for its turn.
+		// Guards against a suspect that is cleared by the VM that tried it without the
+		// other VMs being told: they would hold back their own suspects for it.
 		@Test
 		void clearedSuspectIsReportedAndProvenCrashesStay() {
 			apply(new Command.ReportCrash(0, 8, 1));
--- a/core/src/test/java/org/acaciacourse/core/state/ProposalClockTests.java
+++ b/core/src/test/java/org/acaciacourse/core/state/ProposalClockTests.java
@@ -15,8 +15,8 @@
 
 	@Test
 	void newLeaderWithAClockAheadDoesNotExpireALease() {
-		// The lease holds for ten seconds when its leader fails. The next leader's wall
-		// clock is an hour ahead: by it the lease would be over at once.
+		// A ten-second lease is held when the leader fails. The wall clock of the next
+		// leader is an hour ahead; by that clock the lease would expire at once.
 		this.state.apply(1, new Command.AcquireLease(1_000, "writer", "a", 10_000));
 		ProposalClock clock = new ProposalClock(this.state, 3_600_000, 5 * SECOND);
 		assertThat(clock.proposedAt(3_601_000, 6 * SECOND)).isEqualTo(2_010);
@@ -24,8 +24,8 @@
 
 	@Test
 	void wallClockSetForwardIsFollowedSlowly() {
-		// A leader serves for a day and its wall clock is then set forward by an hour.
-		// The day's catch-up was not used, but must not come all at once either.
+		// After a day of leadership the wall clock is set forward by an hour. The
+		// catch-up that was not used during that day must not be applied all at once.
 		this.state.apply(1, new Command.AcquireLease(1_000, "writer", "a", 10_000));
 		ProposalClock clock = new ProposalClock(this.state, 0, 0);
 		long day = 86_400;
