--- a/core/src/main/java/org/acaciacourse/core/lease/LeaseHolder.java
+++ b/core/src/main/java/org/acaciacourse/core/lease/LeaseHolder.java
@@ -5,16 +5,17 @@
 
 /**
  * Decides whether a process may act under a lease (Gray and Cheriton, "Leases", 1989).
- * Time is this VM's monotonic clock. The lease counts from the moment at which it was
- * asked for, not from the answer, so that a slow or late answer only shortens it.
+ * All times are nanoseconds of this VM's monotonic clock. The lease time counts from the
+ * moment of the request, not of the reply, so that a slow or late reply only shortens it.
  * <p>
- * {@link #fencingNumber(long)} is asked right before each send. A process that was frozen
- * (garbage collection, a paused VM) wakes with the lease held elsewhere and does not
- * notice by itself; the check with the time of now does. What passes between the check
- * and the network is covered by the margin, and beyond that by the fencing number.
+ * {@link #fencingNumber(long)} must be called right before each send. After a pause
+ * (garbage collection, a suspended VM) the lease may be held by another process, which
+ * this process does not notice by itself; the check against the current time detects it.
+ * The time between the check and the write to the network is covered by the margin, and
+ * beyond that by the fencing number.
  * <p>
- * Invariants: at most one request is outstanding; it acts only before the usable time of
- * the latest granted request has passed; its fencing number never falls.
+ * Invariants: at most one request is outstanding; the lease is used only within the
+ * usable time of the latest granted request; the fencing number never decreases.
  * <p>
  * Not thread safe: one thread calls it.
  */
@@ -35,17 +36,17 @@
 	private long usableUntil = Long.MIN_VALUE;
 
 	/**
-	 * Make a holder that holds nothing yet.
-	 * @param timing the times of the lease
+	 * Create a holder that does not hold the lease yet.
+	 * @param timing the timing of the lease
 	 */
 	public LeaseHolder(LeaseTiming timing) {
 		this.timing = timing;
 	}
 
 	/**
-	 * Return whether the lease is to be asked for now, as a first time or as a renewal. A
-	 * request without an answer is given up after the time between renewals.
-	 * @param now the time
+	 * Start a request to acquire or renew the lease, if one is due. A request without a
+	 * reply times out after the renewal interval.
+	 * @param now the current time
 	 * @return the number of the request to send, if one is due
 	 */
 	public OptionalLong request(long now) {
@@ -61,8 +62,8 @@
 	}
 
 	/**
-	 * The lease was granted or renewed.
-	 * @param request the number of the request; an answer to an earlier one is ignored
+	 * Handle a reply that granted or renewed the lease.
+	 * @param request the number of the request; a reply to an earlier one is ignored
 	 * @param grantedNumber the fencing number
 	 */
 	public void granted(long request, long grantedNumber) {
@@ -75,7 +76,7 @@
 	}
 
 	/**
-	 * The lease is held by another process, or the request failed.
+	 * Handle a refused or failed request.
 	 * @param request the number of the request
 	 * @param heldElsewhere whether another process is known to hold the lease
 	 */
@@ -90,19 +91,19 @@
 	}
 
 	/**
-	 * Return whether this process may act now, and with which number.
-	 * @param now the time
-	 * @return the fencing number, if the lease holds
+	 * Return the fencing number to act with, if this process may act now.
+	 * @param now the current time
+	 * @return the fencing number, if the lease is held
 	 */
 	public OptionalLong fencingNumber(long now) {
 		return (now < this.usableUntil) ? OptionalLong.of(this.fencingNumber) : OptionalLong.empty();
 	}
 
 	/**
-	 * Stop acting, before the lease is given back. An answer that is still under way does
+	 * Stop using the lease, before it is released. A reply to an outstanding request does
 	 * not revive it.
-	 * @param now the time
-	 * @return the fencing number to give back, if the lease was held
+	 * @param now the current time
+	 * @return the fencing number to release the lease with, if it was held
 	 */
 	public Optional<Long> release(long now) {
 		OptionalLong held = fencingNumber(now);
--- a/core/src/main/java/org/acaciacourse/core/lease/LeaseTiming.java
+++ b/core/src/main/java/org/acaciacourse/core/lease/LeaseTiming.java
@@ -3,18 +3,18 @@
 import java.time.Duration;
 
 /**
- * Times of a lease as its holder sees them. Invariant: the holder stops before the lease
- * can end at the replicated state machine, as long as the clocks' rates differ by no more
- * than the bound.
+ * The timing of a lease on the side of its holder. Invariant: the holder stops using the
+ * lease before it can expire in the replicated state machine, as long as the rates of the
+ * clocks differ by no more than the drift bound.
  * <p>
  * Immutable and thread safe.
  *
- * @param durationNanos how long a lease is asked for
- * @param renewIntervalNanos the time between renewals
- * @param driftPerThousand the bound on the difference of the clocks' rates, the catch-up
- * of {@link org.acaciacourse.core.state.ProposalClock} included
- * @param marginNanos how long before the end the holder stops: longer than a send takes
- * from its check to the network
+ * @param durationNanos the requested duration of the lease
+ * @param renewIntervalNanos the interval between renewals
+ * @param driftPerThousand the bound on the difference of the clock rates, including the
+ * catch-up of {@link org.acaciacourse.core.state.ProposalClock}
+ * @param marginNanos how long before the expiry the holder stops; must be longer than the
+ * time from the check before a send to the write to the network
  */
 public record LeaseTiming(long durationNanos, long renewIntervalNanos, int driftPerThousand, long marginNanos) {
 
@@ -26,8 +26,8 @@
 	}
 
 	/**
-	 * Return times for a writer whose failure is noticed within some ten seconds.
-	 * @return the defaults
+	 * Return the timing with which a failed holder is replaced after about ten seconds.
+	 * @return the default timing
 	 */
 	public static LeaseTiming defaults() {
 		return new LeaseTiming(Duration.ofSeconds(10).toNanos(), Duration.ofSeconds(2).toNanos(), 20,
@@ -35,7 +35,7 @@
 	}
 
 	/**
-	 * Return how long after asking for it a holder may rely on a lease.
+	 * Return how long after its request a holder may rely on the lease.
 	 * @return the time in nanoseconds
 	 */
 	public long usableNanos() {
--- a/core/src/main/java/org/acaciacourse/core/lease/package-info.java
+++ b/core/src/main/java/org/acaciacourse/core/lease/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The holder's side of a lease, by the monotonic clock.
+ * The holder's side of a lease, timed by the monotonic clock.
  */
 package org.acaciacourse.core.lease;
--- a/core/src/test/java/org/acaciacourse/core/lease/LeaseHolderTests.java
+++ b/core/src/test/java/org/acaciacourse/core/lease/LeaseHolderTests.java
@@ -11,7 +11,7 @@
  */
 class LeaseHolderTests {
 
-	// Usable for 1000 - 20 - 80 = 900 after the request.
+	// Usable for 1000 - 20 - 80 = 900 ns after the request.
 	private static final LeaseTiming TIMING = new LeaseTiming(1_000, 300, 20, 80);
 
 	private final LeaseHolder holder = new LeaseHolder(TIMING);
@@ -26,8 +26,8 @@
 
 	@Test
 	void replyReadAfterAPauseDoesNotReviveTheLease() {
-		// The process asks, is frozen past the lease, and finds the answer when it
-		// wakes. By then another process may hold the lease.
+		// The process requests a renewal, is paused beyond the lease time and reads the
+		// reply only then. Another process may hold the lease by that time.
 		long request = this.holder.request(0).getAsLong();
 		this.holder.granted(request, 7);
 		long renewal = this.holder.request(300).getAsLong();
