--- a/core/src/main/java/org/acaciacourse/core/membership/EndpointSubset.java
+++ b/core/src/main/java/org/acaciacourse/core/membership/EndpointSubset.java
@@ -9,16 +9,17 @@
 import net.openhft.hashing.LongHashFunction;
 
 /**
- * Chooses the endpoints that an entry VM works with, so that its connections, probes and
- * learnt state stay bounded however many endpoints there are.
+ * Selects the subset of endpoints that an entry VM uses, so that its connections, probes
+ * and learned state stay bounded however many endpoints there are.
  * <p>
- * Rendezvous hashing (Thaler and Ravishankar, 1998) from the side of the endpoint: each
- * endpoint belongs to the {@code sharers} entry VMs with the highest hash of the pair.
- * Choosing from the side of the entry VM would leave some endpoints to nobody; this way
- * each has exactly its number of entry VMs. A VM that goes away moves only the endpoints
- * that it shared, and VMs agree without a message, as far as their lists of VMs agree.
+ * Uses rendezvous hashing (Thaler and Ravishankar, 1998) per endpoint: each endpoint is
+ * assigned to the {@code entriesPerEndpoint} entry VMs with the highest hash of the pair.
+ * If each entry VM selected endpoints instead, some endpoints might be selected by none;
+ * this way each endpoint has exactly the given number of entry VMs. When a VM is removed,
+ * only the endpoints assigned to it are reassigned. VMs reach the same assignment without
+ * communicating, as far as their lists of entry VMs are the same.
  * <p>
- * Thread safe: it has no state.
+ * Thread safe: stateless.
  */
 public final class EndpointSubset {
 
@@ -28,14 +29,14 @@
 	}
 
 	/**
-	 * Choose the endpoints of an entry VM.
-	 * @param self the name of the VM
-	 * @param entries the names of the live entry VMs; {@code self} counts whether it is
-	 * among them or not
+	 * Select the endpoints of an entry VM.
+	 * @param self the name of the entry VM
+	 * @param entries the names of the live entry VMs; {@code self} is counted even if it
+	 * is not among them
 	 * @param endpoints the names of the endpoints
-	 * @param entriesPerEndpoint how many entry VMs each endpoint belongs to
-	 * @return the names of this VM's endpoints; all of them while there are no more than
-	 * {@code sharers} entry VMs
+	 * @param entriesPerEndpoint how many entry VMs each endpoint is assigned to
+	 * @return the names of the endpoints of this entry VM; all endpoints if there are no
+	 * more than {@code entriesPerEndpoint} entry VMs
 	 */
 	public static Set<String> choose(String self, Collection<String> entries, Collection<String> endpoints,
 			int entriesPerEndpoint) {
--- a/core/src/main/java/org/acaciacourse/core/membership/package-info.java
+++ b/core/src/main/java/org/acaciacourse/core/membership/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Which VMs and endpoints are live, and which entry VM works with which endpoints.
+ * Assigns endpoints to entry VMs.
  */
 package org.acaciacourse.core.membership;
--- a/core/src/test/java/org/acaciacourse/core/membership/EndpointSubsetTests.java
+++ b/core/src/test/java/org/acaciacourse/core/membership/EndpointSubsetTests.java
@@ -63,8 +63,8 @@
 			}
 		}
 
-		// An entry VM fails. Were the subsets of the others reshuffled, each would open
-		// connections to endpoints it knows nothing of, all at the same moment.
+		// Guards against a failed entry VM changing the subsets of all others: each would
+		// open connections to endpoints that it has no state for, all at the same time.
 		@Test
 		void losingAnEntryReassignsOnlyItsEndpoints() {
 			Set<String> before = EndpointSubset.choose("entry-1", this.entries, this.endpoints, ENTRIES_PER_ENDPOINT);
