--- a/core/src/main/java/org/acaciacourse/core/order/DesiredEngine.java
+++ b/core/src/main/java/org/acaciacourse/core/order/DesiredEngine.java
@@ -13,14 +13,15 @@
 import org.acaciacourse.core.model.Tier;
 
 /**
- * What a manifest wants of one engine.
+ * The desired state of one engine according to a manifest.
  * <p>
  * Immutable and thread safe.
  *
  * @param endpoint the name of the endpoint
- * @param models the models that it is to have loaded
- * @param checksFencing whether it refuses orders with an old number
- * @param tier the highest tier that it serves, which its loads are urgent by
+ * @param models the models that it should have loaded
+ * @param checksFencing whether it refuses orders with an outdated fencing number
+ * @param tier the highest tier that it serves, which gives the priority of its model
+ * loads
  */
 public record DesiredEngine(String endpoint, Set<String> models, boolean checksFencing, Tier tier) {
 
@@ -29,9 +30,10 @@
 	}
 
 	/**
-	 * Work out what a manifest wants. Endpoints that are leaving get no orders.
+	 * Return the desired state of all engines of a manifest. Drained endpoints are left
+	 * out, so that they receive no orders.
 	 * @param manifest the manifest
-	 * @return the engines by the name of the endpoint
+	 * @return the engines by endpoint name
 	 */
 	public static SortedMap<String, DesiredEngine> of(Manifest manifest) {
 		SortedMap<String, DesiredEngine> engines = new TreeMap<>();
--- a/core/src/main/java/org/acaciacourse/core/order/EngineOrder.java
+++ b/core/src/main/java/org/acaciacourse/core/order/EngineOrder.java
@@ -3,15 +3,15 @@
 import java.util.Objects;
 
 /**
- * An order to an engine. Each is idempotent: an engine that gets it twice ends in the
- * same state.
+ * An order to an engine. Orders are idempotent: receiving one twice leaves the engine in
+ * the same state.
  * <p>
  * Immutable and thread safe.
  *
  * @param endpoint the name of the endpoint
- * @param fencingNumber the number of the writer's lease
- * @param kind what is ordered
- * @param subject the model or role
+ * @param fencingNumber the fencing number of the writer's lease
+ * @param kind the kind of order
+ * @param subject the name of the model or role
  */
 public record EngineOrder(String endpoint, long fencingNumber, Kind kind, String subject) {
 
@@ -26,13 +26,13 @@
 	 */
 	public enum Kind {
 
-		/** Load a model from the weight store. */
+		/** Load the weights of a model from the weight store. */
 		LOAD("load"),
 
-		/** Free the memory of a model. */
+		/** Unload a model and free its memory. */
 		UNLOAD("unload"),
 
-		/** Take a role; with the present one it only carries the fencing number. */
+		/** Take a role. Ordering the current role only conveys the fencing number. */
 		ROLE("role");
 
 		private final String label;
--- a/core/src/main/java/org/acaciacourse/core/order/EngineRecord.java
+++ b/core/src/main/java/org/acaciacourse/core/order/EngineRecord.java
@@ -5,8 +5,9 @@
 import java.util.TreeSet;
 
 /**
- * What the writer knows of one engine in one tenure of its lease. Invariant: at most one
- * read or order is outstanding, so that orders cannot overtake each other.
+ * The state that the writer keeps of one engine for as long as it holds its lease.
+ * Invariant: at most one read or order is outstanding, so that orders are never
+ * reordered.
  * <p>
  * Not thread safe: belongs to one {@link OrderWriter}.
  */
@@ -27,10 +28,10 @@
 	}
 
 	/**
-	 * Note that the manifest wants something else of this engine. Changes that concern
-	 * other engines do not count: with one every few seconds, a delay that each of them
-	 * restarts would never pass.
-	 * @param now the time
+	 * Record a change of the desired state of this engine, which restarts the unload
+	 * delay. Changes to other engines must not restart it: with one every few seconds,
+	 * the delay would never elapse.
+	 * @param now the current time
 	 */
 	void desiredStateChanged(long now) {
 		this.desiredSince = now;
@@ -44,8 +45,8 @@
 	}
 
 	/**
-	 * Forget what is known of the engine.
-	 * @param time when to look at it
+	 * Discard the known state and read the engine again later.
+	 * @param time the earliest time of the read
 	 */
 	void resetAndReadAt(long time) {
 		this.state = Optional.empty();
@@ -55,8 +56,8 @@
 	}
 
 	/**
-	 * Note that the engine is as it should be.
-	 * @param next when to look again
+	 * Record that the engine needs no order now.
+	 * @param next the time of the next read
 	 */
 	void markConverged(long next) {
 		resetAndReadAt(next);
@@ -86,9 +87,10 @@
 	}
 
 	/**
-	 * Note what an order did. After the order that carried a new fencing number the
-	 * engine is read again: an order of the last writer may have come between the first
-	 * read and it, and none can come any more.
+	 * Apply a completed order to the known state. After the role order, which conveys a
+	 * new fencing number, the engine is read again: an order of the previous writer may
+	 * have been carried out between the first read and the role order, and none can be
+	 * after it.
 	 * @param order the order
 	 */
 	void orderCompleted(EngineOrder order) {
--- a/core/src/main/java/org/acaciacourse/core/order/EngineState.java
+++ b/core/src/main/java/org/acaciacourse/core/order/EngineState.java
@@ -4,11 +4,11 @@
 import java.util.Set;
 
 /**
- * What an engine says of itself.
+ * The state that an engine reports.
  * <p>
  * Immutable and thread safe.
  *
- * @param fencingNumber the highest number that it has seen
+ * @param fencingNumber the highest fencing number that it has seen
  * @param loaded the models that it has loaded
  * @param role its role
  */
--- a/core/src/main/java/org/acaciacourse/core/order/OrderActions.java
+++ b/core/src/main/java/org/acaciacourse/core/order/OrderActions.java
@@ -1,31 +1,31 @@
 package org.acaciacourse.core.order;
 
 /**
- * What the writer of orders wants done. Implementations are called on the writer's thread
- * and must not call back into it.
+ * The actions that an {@link OrderWriter} requests. They are called on the writer's
+ * thread and must not call the writer before they return.
  */
 public interface OrderActions {
 
 	/**
-	 * Read an engine's state; {@link OrderWriter#stateRead} or {@link OrderWriter#failed}
-	 * follows.
+	 * Read the state of an engine, then call {@link OrderWriter#stateRead} or
+	 * {@link OrderWriter#failed}.
 	 * @param endpoint the name of the endpoint
 	 */
 	void readState(String endpoint);
 
 	/**
-	 * Send an order. The lease is checked once more right before the bytes leave, and the
-	 * order is given up after {@link OrderTiming#orderTimeoutNanos()};
-	 * {@link OrderWriter#done}, {@link OrderWriter#fenced} or {@link OrderWriter#failed}
-	 * follows.
+	 * Send an order, then call {@link OrderWriter#done}, {@link OrderWriter#fenced} or
+	 * {@link OrderWriter#failed}. Implementations must check the lease again right before
+	 * the order is written and abort it after {@link OrderTiming#orderTimeoutNanos()}.
 	 * @param order the order
 	 */
 	void send(EngineOrder order);
 
 	/**
-	 * An engine has seen a higher number: another writer is in charge.
+	 * Handle an engine that has seen a higher fencing number, which means that another
+	 * writer holds the lease.
 	 * @param endpoint the name of the endpoint
-	 * @param fencingNumber the number that it has seen, 0 if it did not say
+	 * @param fencingNumber the number that the engine has seen, 0 if it is not known
 	 */
 	void outdated(String endpoint, long fencingNumber);
 
--- a/core/src/main/java/org/acaciacourse/core/order/OrderTiming.java
+++ b/core/src/main/java/org/acaciacourse/core/order/OrderTiming.java
@@ -3,17 +3,18 @@
 import java.time.Duration;
 
 /**
- * Times of the writer of orders.
+ * The timing of an {@link OrderWriter}.
  * <p>
  * Immutable and thread safe.
  *
- * @param orderTimeoutNanos the longest time that an order can be under way: its sender
- * closes the connection then, and an engine does not carry out what it has not wholly
- * received
- * @param rereadNanos the time between two looks at an engine that is as it should be, and
- * after a failure
- * @param unloadDelayNanos how long after a change a model that is not wanted any more
- * stays loaded: entry VMs stop sending to it within seconds, and it finishes what runs
+ * @param orderTimeoutNanos the longest time that an order can be in flight: the sender
+ * then closes the connection, and an engine does not carry out an order that it has not
+ * received completely
+ * @param rereadNanos the interval between reads of an engine that is in the desired state
+ * or that has seen a higher fencing number
+ * @param unloadDelayNanos how long a model that is no longer desired stays loaded after
+ * the change: within seconds entry VMs stop sending requests to it, and running requests
+ * can finish
  */
 public record OrderTiming(long orderTimeoutNanos, long rereadNanos, long unloadDelayNanos) {
 
@@ -24,8 +25,8 @@
 	}
 
 	/**
-	 * Return times for engines that take an order within some seconds.
-	 * @return the defaults
+	 * Return the timing for engines that accept an order within a few seconds.
+	 * @return the default timing
 	 */
 	public static OrderTiming defaults() {
 		return new OrderTiming(Duration.ofSeconds(10).toNanos(), Duration.ofSeconds(30).toNanos(),
--- a/core/src/main/java/org/acaciacourse/core/order/OrderWriter.java
+++ b/core/src/main/java/org/acaciacourse/core/order/OrderWriter.java
@@ -10,22 +10,25 @@
 import java.util.TreeSet;
 
 /**
- * Brings engines to what the manifest wants while this process holds the lease of the
- * writer: it reads an engine's state, sends one order at a time, and looks again.
+ * Reconciles engines with the desired state of the manifest while this process holds the
+ * writer lease: it reads the state of an engine, sends one order at a time and reads the
+ * state again.
  * <p>
- * A new tenure trusts nothing from before. An engine that checks fencing numbers is given
- * the new number first, by ordering the role that it has, and only then is its state
- * believed: from then on it refuses what the last writer still has under way. An engine
- * that ignores numbers would carry such an order out after it was read. The lease was
- * granted only after the last writer had stopped sending, so the writer waits for the
- * longest time that an order can be under way, reads, and orders again what should be. If
- * an order takes longer than that bound, such an engine is wrong until the next look.
+ * When the lease is acquired anew, no earlier state is reused. An engine that checks
+ * fencing numbers first receives the new number, in an order to take the role that it
+ * already has, and its state is trusted only after that: from then on it refuses orders
+ * of the previous writer that are still in flight. An engine that ignores fencing numbers
+ * would carry such an order out even after its state was read. As the lease is granted
+ * only after the previous writer has stopped sending, the writer waits for the longest
+ * time that an order can be in flight, then reads the state and orders what is needed. If
+ * an order takes longer than that bound, such an engine deviates from the desired state
+ * until the next read.
  * <p>
- * Invariants: no order is sent without a fencing number that holds at that moment; at
- * most one is under way to an engine; loads keep to the budget of the weight store, the
- * highest tier first.
+ * Invariants: an order is sent only with a fencing number that is valid at that moment;
+ * at most one order is in flight to an engine; model loads stay within the budget of the
+ * weight store, the highest tier first.
  * <p>
- * Not thread safe: one thread calls it.
+ * Not thread safe: all methods must be called by one thread.
  */
 public final class OrderWriter {
 
@@ -44,10 +47,10 @@
 	private long currentFencingNumber;
 
 	/**
-	 * Make a writer that has nothing to do.
-	 * @param timing its times
-	 * @param budget the budget of the weight store
-	 * @param actions carries out what it wants done
+	 * Create a writer without a desired state.
+	 * @param timing the timing
+	 * @param budget the budget for model loads
+	 * @param actions carries out the actions that the writer requests
 	 */
 	public OrderWriter(OrderTiming timing, WeightBudget budget, OrderActions actions) {
 		this.timing = timing;
@@ -56,9 +59,9 @@
 	}
 
 	/**
-	 * Take what a newer manifest wants.
-	 * @param engines the engines by the name of the endpoint
-	 * @param now the time
+	 * Replace the desired state by that of a newer manifest.
+	 * @param engines the desired engines by endpoint name
+	 * @param now the current time
 	 */
 	public void desire(SortedMap<String, DesiredEngine> engines, long now) {
 		Map<String, DesiredEngine> previous = this.desired;
@@ -77,9 +80,9 @@
 	}
 
 	/**
-	 * Go on with whatever is to be done.
-	 * @param fencingNumber the number of the lease, if it holds now
-	 * @param now the time
+	 * Reconcile all engines that are due. Must be called regularly.
+	 * @param fencingNumber the fencing number of the lease, if it is held now
+	 * @param now the current time
 	 */
 	public void tick(OptionalLong fencingNumber, long now) {
 		if (fencingNumber.isEmpty()) {
@@ -87,7 +90,7 @@
 		}
 		if (fencingNumber.getAsLong() != this.currentFencingNumber) {
 			this.currentFencingNumber = fencingNumber.getAsLong();
-			// Another writer may have spent all that the weight store permits.
+			// Another writer may have just used up the budget of the weight store.
 			this.budget.clear(now);
 			this.byTier.forEach((engine) -> this.records.put(engine.endpoint(), newRecord(engine, now)));
 		}
@@ -95,9 +98,9 @@
 	}
 
 	/**
-	 * An engine's state was read.
+	 * Handle the state that was read from an engine.
 	 * @param endpoint the name of the endpoint
-	 * @param fencingNumber the number of the lease when the read was asked for
+	 * @param fencingNumber the fencing number of the lease when the read was requested
 	 * @param state the state
 	 */
 	public void stateRead(String endpoint, long fencingNumber, EngineState state) {
@@ -105,7 +108,7 @@
 	}
 
 	/**
-	 * An order was carried out.
+	 * Handle an order that the engine carried out.
 	 * @param order the order
 	 */
 	public void done(EngineOrder order) {
@@ -113,9 +116,10 @@
 	}
 
 	/**
-	 * An engine refused an order because it has seen a higher number.
+	 * Handle an order that the engine refused because it has seen a higher fencing
+	 * number.
 	 * @param order the order
-	 * @param now the time
+	 * @param now the current time
 	 */
 	public void fenced(EngineOrder order, long now) {
 		recordIfCurrent(order.endpoint(), order.fencingNumber()).ifPresent((record) -> {
@@ -125,11 +129,11 @@
 	}
 
 	/**
-	 * A read or an order failed, so that its outcome is unknown. An order may still be
-	 * under way; the engine is looked at when it no longer can be.
+	 * Handle a failed read or order. Its outcome is unknown and an order may still be in
+	 * flight, so the engine is read again once that is no longer possible.
 	 * @param endpoint the name of the endpoint
-	 * @param fencingNumber the number of the lease when it was sent
-	 * @param now the time
+	 * @param fencingNumber the fencing number of the lease when the request was sent
+	 * @param now the current time
 	 */
 	public void failed(String endpoint, long fencingNumber, long now) {
 		recordIfCurrent(endpoint, fencingNumber)
@@ -137,8 +141,8 @@
 	}
 
 	/**
-	 * Return how many engines had all they need when they were looked at last.
-	 * @return the number
+	 * Return the number of engines that had all desired models loaded at their last read.
+	 * @return the number of engines
 	 */
 	public long convergedCount() {
 		return this.records.values().stream().filter(EngineRecord::isConverged).count();
@@ -192,7 +196,7 @@
 		return record;
 	}
 
-	// An answer that belongs to an earlier tenure says nothing about this one.
+	// A reply to a request of an earlier lease says nothing about the current state.
 	private Optional<EngineRecord> recordIfCurrent(String endpoint, long fencingNumber) {
 		return Optional.ofNullable(this.records.get(endpoint))
 			.filter((record) -> fencingNumber == this.currentFencingNumber);
--- a/core/src/main/java/org/acaciacourse/core/order/WeightBudget.java
+++ b/core/src/main/java/org/acaciacourse/core/order/WeightBudget.java
@@ -3,16 +3,17 @@
 import org.acaciacourse.core.model.Tier;
 
 /**
- * The loads that the weight store permits, as a token bucket with reserves (after the
- * trunk reservation of telephone networks; Kelly, "Loss Networks", 1991). When a change
- * reloads the whole fleet, a lower tier may not take the last tokens, so that a load that
- * the highest tier needs in the midst of it starts at once and not after the whole fleet.
+ * Limits the rate at which models are loaded from the weight store. A token bucket with
+ * reserved tokens, after the trunk reservation of telephone networks (Kelly, "Loss
+ * Networks", 1991). Lower tiers cannot take the last tokens, so that while a change
+ * reloads the whole fleet a load needed by the highest tier starts at once instead of
+ * after the whole fleet.
  * <p>
- * Invariants: over any time the loads started do not exceed the capacity plus the rate
- * times that time; the tokens kept back from a tier are never taken by it.
+ * Invariants: in any period the number of loads started does not exceed the capacity plus
+ * the rate times the period; a tier never takes the tokens reserved for higher tiers.
  * <p>
- * Not thread safe: belongs to one writer. A new writer starts it empty, because the last
- * one may have spent all.
+ * Not thread safe: belongs to one writer. A new writer starts with an empty bucket,
+ * because the previous one may have used all tokens.
  */
 public final class WeightBudget {
 
@@ -25,11 +26,10 @@
 	private long refilledAt;
 
 	/**
-	 * Make an empty bucket.
-	 * @param capacity how many loads may start at once, at least 3 so that each tier has
-	 * a token of its own
-	 * @param perSecond how many loads may start a second
-	 * @param now the time
+	 * Create an empty bucket.
+	 * @param capacity how many loads may start at once, at least 3, one for each tier
+	 * @param perSecond how many loads may start per second in the long run
+	 * @param now the current time
 	 */
 	public WeightBudget(int capacity, double perSecond, long now) {
 		if (capacity < Tier.values().length || !(perSecond > 0)) {
@@ -42,7 +42,7 @@
 
 	/**
 	 * Empty the bucket.
-	 * @param now the time
+	 * @param now the current time
 	 */
 	public void clear(long now) {
 		this.tokens = 0;
@@ -50,15 +50,15 @@
 	}
 
 	/**
-	 * Take a token for a load, if the tier may.
+	 * Take a token for a load, if one is available to the tier.
 	 * @param tier the tier that needs the load
-	 * @param now the time
+	 * @param now the current time
 	 * @return whether the load may start
 	 */
 	public boolean tryAcquire(Tier tier, long now) {
 		this.tokens = Math.min(this.capacity, this.tokens + (now - this.refilledAt) * this.tokensPerNano);
 		this.refilledAt = now;
-		// A token is kept for each tier above this one.
+		// One token is reserved for each tier above this one.
 		if (this.tokens < 1 + tier.ordinal()) {
 			return false;
 		}
--- a/core/src/main/java/org/acaciacourse/core/order/package-info.java
+++ b/core/src/main/java/org/acaciacourse/core/order/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The orders that bring model engines to what the manifest wants, under a lease.
+ * Reconciles model engines with the manifest by sending them orders, under a lease.
  */
 package org.acaciacourse.core.order;
--- a/core/src/test/java/org/acaciacourse/core/order/OrderWriterTests.java
+++ b/core/src/test/java/org/acaciacourse/core/order/OrderWriterTests.java
@@ -27,7 +27,8 @@
 
 	private final List<String> outdated = new ArrayList<>();
 
-	// A token per nanosecond: the budget limits only the tests that want it to.
+	// One token per nanosecond, so that the budget is no limit unless a test sets
+	// another.
 	private OrderWriter writer = writer(1e9);
 
 	private OrderWriter writer(double loadsPerSecond) {
@@ -76,9 +77,10 @@
 
 		@Test
 		void receivesTheFencingNumberBeforeItsStateIsTrusted() {
-			// The last writer's order to unload is still under way. If the successor
-			// believed the first read, the order would come after it and the model would
-			// be gone. With the new number first, the engine refuses the late order.
+			// An unload order of the previous writer is still in flight. If the new
+			// writer trusted its first read, the order would arrive after it and the
+			// model would be missing. Once it has the new number, the engine refuses
+			// the late order.
 			desire(0, engine("e", true, Tier.HIGH));
 			tick(2, 5);
 			OrderWriterTests.this.writer.stateRead("e", 2, new EngineState(1, Set.of("m"), "serve"));
@@ -109,9 +111,9 @@
 
 		@Test
 		void isReadOnlyAfterTheOrderTimeoutOfThePreviousWriter() {
-			// Such an engine carries out whatever arrives. What the last writer sent just
-			// before its lease ended may arrive until the time of an order has passed, so
-			// an earlier look would miss it.
+			// The engine carries out every order that arrives. One that the previous
+			// writer sent just before its lease expired may arrive until the order
+			// timeout has passed, so an earlier read would miss its effect.
 			desire(0, engine("e", false, Tier.HIGH));
 			tick(2, 5);
 			tick(2, 14);
@@ -150,8 +152,8 @@
 
 		@Test
 		void replyFromAnEarlierLeaseIsIgnored() {
-			// The process loses the lease and gets it back, while another writer was in
-			// charge. An answer to its old read tells of a state that may be long gone.
+			// The process loses the lease to another writer and acquires it again. The
+			// reply to a read from before may describe an outdated state.
 			desire(0, engine("e", true, Tier.HIGH));
 			tick(1, 5);
 			tick(3, 6);
@@ -180,7 +182,7 @@
 
 		@Test
 		void changesToOtherEnginesDoNotRestartTheUnloadDelay() {
-			// A pipeline changes some customer or endpoint every few seconds. If each
+			// The manifest changes some customer or endpoint every few seconds. If each
 			// change restarted the delay, the memory of the model would never be freed.
 			desire(0, engine("e", true, Tier.HIGH));
 			tick(1, 5);
@@ -208,9 +210,9 @@
 
 		@Test
 		void massReloadDoesNotStarveALoadOfTheHighestTier() {
-			// A change reloads twenty engines of the lowest tier and takes all that the
-			// weight store gives. In the midst of it an engine of the highest tier
-			// restarts empty: it must be next, not twenty-first.
+			// A change reloads twenty engines of the lowest tier and uses the whole load
+			// budget. Meanwhile an engine of the highest tier restarts without its
+			// model: its load must be the next, not the twenty-first.
 			OrderWriterTests.this.writer = writer(1e8);
 			List<DesiredEngine> engines = new ArrayList<>();
 			for (int i = 0; i < 20; i++) {
