--- a/core/src/main/java/org/acaciacourse/core/model/Customer.java
+++ b/core/src/main/java/org/acaciacourse/core/model/Customer.java
@@ -5,17 +5,17 @@
 import java.util.Set;
 
 /**
- * A customer with its keys and limits. Limits hold for the whole system; each entry VM
- * enforces its part of them.
+ * A customer with its API keys and limits. The limits apply to the whole system; each
+ * entry VM enforces its share of them.
  * <p>
  * Immutable and thread safe.
  *
  * @param name the unique name
- * @param keyDigests SHA-256 of each key, in lower-case hexadecimal digits
- * @param classes the names of the classes it may use, the first is the default
- * @param maxInFlight how many of its requests may be queued or running
- * @param requestsPerSecond the sustained rate of its requests
- * @param weight its share among the customers of a class
+ * @param keyDigests the SHA-256 digest of each API key, in lower-case hexadecimal digits
+ * @param classes the names of the request classes that it may use, the default first
+ * @param maxInFlight the maximum number of its requests that are queued or running
+ * @param requestsPerSecond the maximum sustained rate of its requests
+ * @param weight its relative share among the customers of a class
  */
 public record Customer(String name, Set<String> keyDigests, List<String> classes, int maxInFlight,
 		double requestsPerSecond, int weight) {
--- a/core/src/main/java/org/acaciacourse/core/model/Endpoint.java
+++ b/core/src/main/java/org/acaciacourse/core/model/Endpoint.java
@@ -4,16 +4,16 @@
 import java.util.Objects;
 
 /**
- * One endpoint as the manifest declares it.
+ * An endpoint as declared in the manifest.
  * <p>
  * Immutable and thread safe.
  *
  * @param name the unique name
  * @param set the name of its endpoint set
- * @param address the base address, an IP number and a port
- * @param dataCentre the data centre it stands in
- * @param slots how many requests it runs at the same time
- * @param drained whether the manifest marks it as leaving
+ * @param address the base address, an IP address and a port
+ * @param dataCentre the data centre that it is located in
+ * @param slots how many requests it runs concurrently
+ * @param drained whether the manifest marks it as drained
  */
 public record Endpoint(String name, String set, URI address, String dataCentre, int slots, boolean drained) {
 
--- a/core/src/main/java/org/acaciacourse/core/model/EndpointSet.java
+++ b/core/src/main/java/org/acaciacourse/core/model/EndpointSet.java
@@ -13,9 +13,10 @@
  * @param name the unique name
  * @param kind whether the endpoints are model engines or plain services
  * @param models the models that each endpoint serves, empty for a plain service
- * @param resumable whether a broken stream can be resumed by its request id
+ * @param resumable whether an interrupted stream can be resumed by its request id
  * @param deterministic whether a rerun yields the same tokens
- * @param checksFencing whether the endpoints refuse orders with an old fencing number
+ * @param checksFencing whether the endpoints refuse orders with an outdated fencing
+ * number
  */
 public record EndpointSet(String name, Kind kind, Set<String> models, boolean resumable, boolean deterministic,
 		boolean checksFencing) {
@@ -27,7 +28,7 @@
 	}
 
 	/**
-	 * Kinds of endpoint.
+	 * The kinds of endpoint.
 	 */
 	public enum Kind {
 
@@ -44,8 +45,8 @@
 		}
 
 		/**
-		 * Find a kind by its word in a manifest.
-		 * @param label the word
+		 * Find a kind by its label in a manifest.
+		 * @param label the label
 		 * @return the kind, if there is one
 		 */
 		public static Optional<Kind> ofLabel(String label) {
@@ -53,7 +54,7 @@
 		}
 
 		/**
-		 * Return the word used in manifests.
+		 * Return the label used in manifests.
 		 * @return the label
 		 */
 		public String label() {
--- a/core/src/main/java/org/acaciacourse/core/model/LatencyTarget.java
+++ b/core/src/main/java/org/acaciacourse/core/model/LatencyTarget.java
@@ -6,12 +6,12 @@
 import java.util.Optional;
 
 /**
- * The latency target of a class, counted from the arrival of the request.
+ * The latency target of a request class, measured from the arrival of the request.
  * <p>
  * Immutable and thread safe.
  *
- * @param kind what the target bounds
- * @param limit the bound, positive
+ * @param kind the latency that the target limits
+ * @param limit the upper limit, positive
  */
 public record LatencyTarget(Kind kind, Duration limit) {
 
@@ -23,14 +23,14 @@
 	}
 
 	/**
-	 * What a target bounds.
+	 * The latency that a target limits.
 	 */
 	public enum Kind {
 
 		/** The time to the first token. */
 		FIRST_TOKEN("first-token"),
 
-		/** The time to the end of the answer. */
+		/** The time to the end of the response. */
 		WHOLE_ANSWER("whole-answer");
 
 		private final String label;
@@ -40,8 +40,8 @@
 		}
 
 		/**
-		 * Find a kind by its word in a manifest.
-		 * @param label the word
+		 * Find a kind by its label in a manifest.
+		 * @param label the label
 		 * @return the kind, if there is one
 		 */
 		public static Optional<Kind> ofLabel(String label) {
@@ -49,7 +49,7 @@
 		}
 
 		/**
-		 * Return the word used in manifests.
+		 * Return the label used in manifests.
 		 * @return the label
 		 */
 		public String label() {
--- a/core/src/main/java/org/acaciacourse/core/model/Manifest.java
+++ b/core/src/main/java/org/acaciacourse/core/model/Manifest.java
@@ -5,20 +5,20 @@
 import java.util.Set;
 
 /**
- * A whole checked manifest. All names that it refers to exist.
+ * A complete, validated manifest. Invariant: all names that it refers to exist.
  * <p>
  * Immutable and thread safe.
  *
- * @param number the number, which only grows
+ * @param number the number, which increases with each manifest
  * @param digest the SHA-256 of the canonical document, in hexadecimal digits
- * @param policyInForce the policy in force
+ * @param policyInForce the selection of the active policy
  * @param policies the policies by name
- * @param classes the classes by name
+ * @param classes the request classes by name
  * @param endpointSets the endpoint sets by name
  * @param endpoints the endpoints by name
  * @param customers the customers by name
  * @param services the plain services by name
- * @param drainedVms names of the system's VMs that are marked as leaving
+ * @param drainedVms the names of the system's own VMs that are marked as drained
  */
 public record Manifest(long number, String digest, PolicyInForce policyInForce, Map<String, Policy> policies,
 		Map<String, RequestClass> classes, Map<String, EndpointSet> endpointSets, Map<String, Endpoint> endpoints,
--- a/core/src/main/java/org/acaciacourse/core/model/Policy.java
+++ b/core/src/main/java/org/acaciacourse/core/model/Policy.java
@@ -9,8 +9,8 @@
  * Immutable and thread safe.
  *
  * @param name the unique name
- * @param kind the behaviour
- * @param parameters numeric parameters by name; absent ones take their default
+ * @param kind the kind of policy
+ * @param parameters the numeric parameters by name; missing ones take their default
  */
 public record Policy(String name, PolicyKind kind, Map<String, Double> parameters) {
 
@@ -23,7 +23,7 @@
 	/**
 	 * Return a parameter.
 	 * @param parameter the name of the parameter
-	 * @param defaultValue the value if the manifest does not give it
+	 * @param defaultValue the value to use if the manifest does not set the parameter
 	 * @return the value
 	 */
 	public double parameter(String parameter, double defaultValue) {
--- a/core/src/main/java/org/acaciacourse/core/model/PolicyInForce.java
+++ b/core/src/main/java/org/acaciacourse/core/model/PolicyInForce.java
@@ -4,14 +4,14 @@
 import java.util.Optional;
 
 /**
- * The policy in force, with an optional second one that gets a share of the requests by
- * hash.
+ * The active policy, with an optional second policy that is applied to a percentage of
+ * the requests, selected by hash.
  * <p>
  * Immutable and thread safe.
  *
  * @param policy the name of the policy
  * @param split the name of the second policy, if requests are split
- * @param splitPercent the percentage of requests that the second one gets, 0 to 100
+ * @param splitPercent the percentage of requests that use the second policy, 0 to 100
  */
 public record PolicyInForce(String policy, Optional<String> split, int splitPercent) {
 
@@ -24,7 +24,7 @@
 	}
 
 	/**
-	 * Choose the policy of a request; the same hash always gets the same policy.
+	 * Choose the policy for a request; the same hash always yields the same policy.
 	 * @param requestHash a hash of the request
 	 * @return the name of the policy
 	 */
--- a/core/src/main/java/org/acaciacourse/core/model/PolicyKind.java
+++ b/core/src/main/java/org/acaciacourse/core/model/PolicyKind.java
@@ -4,19 +4,22 @@
 import java.util.Optional;
 
 /**
- * The kinds of policy that a manifest can name.
+ * The kinds of policy that a manifest can configure.
  * <p>
  * Immutable and thread safe.
  */
 public enum PolicyKind {
 
-	/** Baseline: one queue in order of arrival, endpoints in turn. */
+	/** Baseline: one queue in order of arrival, endpoints in round-robin order. */
 	FIFO("fifo"),
 
-	/** Baseline: order of arrival, the endpoint with the fewest own requests. */
+	/**
+	 * Baseline: order of arrival, the endpoint with the fewest requests in flight from
+	 * this VM.
+	 */
 	LEAST_IN_FLIGHT("least-in-flight"),
 
-	/** Tiers, fair shares, targets and corrected load. */
+	/** Tiers, fair shares, latency targets and corrected load reports. */
 	TIERED("tiered");
 
 	private final String label;
@@ -26,8 +29,8 @@
 	}
 
 	/**
-	 * Find a kind by its word in a manifest.
-	 * @param label the word
+	 * Find a kind by its label in a manifest.
+	 * @param label the label
 	 * @return the kind, if there is one
 	 */
 	public static Optional<PolicyKind> ofLabel(String label) {
@@ -35,7 +38,7 @@
 	}
 
 	/**
-	 * Return the word used in manifests and metrics.
+	 * Return the label used in manifests and metrics.
 	 * @return the label
 	 */
 	public String label() {
--- a/core/src/main/java/org/acaciacourse/core/model/PolicyParameter.java
+++ b/core/src/main/java/org/acaciacourse/core/model/PolicyParameter.java
@@ -6,45 +6,45 @@
 import org.acaciacourse.core.ini.Range;
 
 /**
- * The numeric parameters of a policy with default and range.
- * {@code docs/design/dispatch.md} tells what each does and which measurement set its
- * default.
+ * The numeric parameters of a policy with their default and range.
+ * {@code docs/design/dispatch.md} describes the effect of each and the measurement behind
+ * its default.
  * <p>
  * Immutable and thread safe.
  */
 public enum PolicyParameter {
 
-	/** Share of the tokens that the low tier is given even in a long burst. */
+	/** Share of the tokens that the low tier receives even during a long burst. */
 	LOWEST_SHARE("lowest-share", 0.08, 0, 0.5),
 
-	/** How many endpoints with room are compared for a request. */
+	/** How many endpoints with free capacity are compared for a request. */
 	CHOICES("choices", 2, 1, 64),
 
-	/** How many high requests an endpoint may hold beyond its slots. */
+	/** How many requests of the high tier an endpoint may hold beyond its slots. */
 	OVERCOMMIT("overcommit", 2, 0, 64),
 
-	/** Age in milliseconds from which the last load report is not trusted. */
+	/** Age in milliseconds from which the last load report is considered stale. */
 	STALE_AFTER("stale-after-ms", 2_500, 100, 60_000),
 
-	/** Share of its target that a middle request waits before it preempts. */
+	/** Share of its target that a request of the middle tier waits before it preempts. */
 	PREEMPT_AFTER("preempt-after", 0.1, 0, 1),
 
-	/** How much slower than its peers an endpoint must be to count as a straggler. */
+	/** Slowdown relative to its peers from which an endpoint counts as a straggler. */
 	STRAGGLER_FACTOR("straggler-factor", 1.6, 1.1, 20),
 
-	/** How many slots of difference in load a cached prefix is worth. */
+	/** Difference in load, in slots, that a cached prefix outweighs. */
 	PREFIX_BONUS("prefix-bonus", 1, 0, 16),
 
-	/** The most requests that wait on one VM for one endpoint set. */
+	/** Maximum number of requests queued on one VM for one endpoint set. */
 	MAX_QUEUED("max-queued", 10_000, 1, 1_000_000),
 
-	/** The most attempts for one request. */
+	/** Maximum number of attempts for one request. */
 	MAX_ATTEMPTS("max-attempts", 5, 1, 20),
 
-	/** Share of the slots that each VM takes as its own: 0 shares all of them. */
+	/** Share of the slots that is divided among the VMs; with 0 all slots are shared. */
 	CREDITS("credits", 0, 0, 1),
 
-	/** Share of the slots of an endpoint below which free ones are given out by lot. */
+	/** Share of an endpoint's slots: if fewer are free, VMs draw their part at random. */
 	SCARCE("scarce", 1, 0, 1);
 
 	private final String label;
@@ -60,8 +60,8 @@
 	}
 
 	/**
-	 * Find a parameter by its word in a manifest.
-	 * @param label the word
+	 * Find a parameter by its label in a manifest.
+	 * @param label the label
 	 * @return the parameter, if there is one
 	 */
 	public static Optional<PolicyParameter> ofLabel(String label) {
@@ -69,7 +69,7 @@
 	}
 
 	/**
-	 * Return the word used in manifests.
+	 * Return the label used in manifests.
 	 * @return the label
 	 */
 	public String label() {
@@ -79,7 +79,7 @@
 	/**
 	 * Return the value of this parameter in a policy.
 	 * @param policy the policy
-	 * @return the value that the policy gives, or the default
+	 * @return the value that the policy sets, or the default
 	 */
 	public double of(Policy policy) {
 		return policy.parameter(this.label, this.defaultValue);
@@ -88,14 +88,14 @@
 	/**
 	 * Return whether a value is within the range.
 	 * @param value the value
-	 * @return whether it may be used
+	 * @return whether it is permitted
 	 */
 	public boolean permits(double value) {
 		return this.range.permits(value);
 	}
 
 	/**
-	 * Return the range as a text for people.
+	 * Return the range as human-readable text.
 	 * @return the range
 	 */
 	public String range() {
--- a/core/src/main/java/org/acaciacourse/core/model/RequestClass.java
+++ b/core/src/main/java/org/acaciacourse/core/model/RequestClass.java
@@ -5,15 +5,15 @@
 import java.util.Objects;
 
 /**
- * A class of requests with its tier, target and permitted endpoints.
+ * A class of requests with its tier, latency target and permitted endpoint sets.
  * <p>
  * Immutable and thread safe.
  *
  * @param name the unique name
  * @param tier the service tier
  * @param target the latency target
- * @param deadline the longest time from arrival to the end of the answer
- * @param preemptible whether a running request may be set aside for a higher tier
+ * @param deadline the maximum time from the arrival to the end of the response
+ * @param preemptible whether a running request may be preempted by a higher tier
  * @param endpointSets the names of the endpoint sets it may use, preferred first
  */
 public record RequestClass(String name, Tier tier, LatencyTarget target, Duration deadline, boolean preemptible,
--- a/core/src/main/java/org/acaciacourse/core/model/Service.java
+++ b/core/src/main/java/org/acaciacourse/core/model/Service.java
@@ -9,9 +9,9 @@
  * Immutable and thread safe.
  *
  * @param name the unique name
- * @param endpointSet the endpoint set that serves it
- * @param requestClass the class of its requests
- * @param notRepeated the calls that run at most once
+ * @param endpointSet the name of the endpoint set that serves it
+ * @param requestClass the name of the class of its requests
+ * @param notRepeated the calls that must run at most once
  */
 public record Service(String name, String endpointSet, String requestClass, List<Call> notRepeated) {
 
@@ -23,10 +23,11 @@
 	}
 
 	/**
-	 * Return whether a call may not be repeated.
+	 * Return whether a call must not be repeated.
 	 * @param method the HTTP method
-	 * @param path the path below the service, with a leading slash and no query
-	 * @return whether the call runs at most once
+	 * @param path the path relative to the service, with a leading slash and without
+	 * query
+	 * @return whether the call must run at most once
 	 */
 	public boolean isNotRepeated(String method, String path) {
 		return this.notRepeated.stream().anyMatch((call) -> call.matches(method, path));
@@ -35,8 +36,8 @@
 	/**
 	 * A method and a path prefix.
 	 *
-	 * @param method the HTTP method in capitals
-	 * @param pathPrefix the start of the path, with a leading slash
+	 * @param method the HTTP method in upper case
+	 * @param pathPrefix the prefix of the path, with a leading slash
 	 */
 	public record Call(String method, String pathPrefix) {
 
--- a/core/src/main/java/org/acaciacourse/core/model/Tier.java
+++ b/core/src/main/java/org/acaciacourse/core/model/Tier.java
@@ -10,13 +10,13 @@
  */
 public enum Tier {
 
-	/** Answered first, never shed or preempted for another tier. */
+	/** Served first, never shed or preempted in favour of another tier. */
 	HIGH("high"),
 
-	/** Between the two. */
+	/** Served after the high and before the low tier. */
 	MIDDLE("middle"),
 
-	/** May wait for hours; holds a guaranteed small share of the tokens. */
+	/** May wait for hours; has a small guaranteed share of the tokens. */
 	LOW("low");
 
 	private final String label;
@@ -26,8 +26,8 @@
 	}
 
 	/**
-	 * Find a tier by its word in a manifest.
-	 * @param label the word
+	 * Find a tier by its label in a manifest.
+	 * @param label the label
 	 * @return the tier, if there is one
 	 */
 	public static Optional<Tier> ofLabel(String label) {
@@ -35,7 +35,7 @@
 	}
 
 	/**
-	 * Return the word used in manifests and metrics.
+	 * Return the label used in manifests and metrics.
 	 * @return the label
 	 */
 	public String label() {
@@ -43,7 +43,7 @@
 	}
 
 	/**
-	 * Return whether this tier goes before another.
+	 * Return whether this tier takes precedence over another.
 	 * @param other the other tier
 	 * @return whether this tier is strictly higher
 	 */
@@ -52,8 +52,8 @@
 	}
 
 	/**
-	 * Return the priority handed to an engine; a smaller number runs first.
-	 * @return the engine priority
+	 * Return the priority that is sent to engines; lower numbers run first.
+	 * @return the priority
 	 */
 	public int enginePriority() {
 		return ordinal();
--- a/core/src/main/java/org/acaciacourse/core/model/package-info.java
+++ b/core/src/main/java/org/acaciacourse/core/model/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The checked manifest: classes, endpoints, customers, services and policies.
+ * The validated manifest: classes, endpoints, customers, services and policies.
  */
 package org.acaciacourse.core.model;
