--- a/core/src/main/java/org/acaciacourse/core/attempt/AttemptEnd.java
+++ b/core/src/main/java/org/acaciacourse/core/attempt/AttemptEnd.java
@@ -1,31 +1,31 @@
 package org.acaciacourse.core.attempt;
 
 /**
- * How one attempt at an endpoint ended, seen from the entry.
+ * How an attempt to send a request to an endpoint ended, as seen by the entry VM.
  * <p>
  * Immutable and thread safe.
  */
 public enum AttemptEnd {
 
-	/** The whole answer was passed on. */
+	/** The whole response was forwarded. */
 	ANSWERED(true, true),
 
-	/** No connection: no byte of the request left this VM. */
+	/** No connection could be used: no byte of the request left this VM. */
 	NOT_SENT(false, false),
 
-	/** The endpoint stated that it did not run the request. */
+	/** The endpoint reported that it did not run the request. */
 	NOT_RUN(true, false),
 
-	/** The endpoint answered in full that it failed. */
+	/** The endpoint sent a complete error response. */
 	FAILED(true, true),
 
-	/** The connection ended or the answer was damaged before its end. */
+	/** The connection was closed or the response was damaged before its end. */
 	BROKEN(true, true),
 
-	/** An answer came that belongs to another request. */
+	/** The response belongs to another request. */
 	MISMATCH(true, true),
 
-	/** Nothing came for too long. */
+	/** No data arrived within the time limit. */
 	SILENT(true, true);
 
 	private final boolean sent;
@@ -39,7 +39,7 @@
 
 	/**
 	 * Return whether a byte of the request may have reached the endpoint.
-	 * @return whether the attempt counts against the route's attempts
+	 * @return false only if no byte of the request left this VM
 	 */
 	public boolean isSent() {
 		return this.sent;
@@ -47,7 +47,7 @@
 
 	/**
 	 * Return whether the endpoint may have run the request.
-	 * @return false only if it is certain that it did not and never will
+	 * @return false only if it certainly did not run it and never will
 	 */
 	public boolean mayHaveRun() {
 		return this.mayHaveRun;
--- a/core/src/main/java/org/acaciacourse/core/attempt/RequestProgress.java
+++ b/core/src/main/java/org/acaciacourse/core/attempt/RequestProgress.java
@@ -10,12 +10,13 @@
 import org.acaciacourse.core.route.Route;
 
 /**
- * Decides what follows each attempt of a routed request: another one, or the final
- * answer. Invariants: a request that is not idempotent is sent again only if it is
- * certain that no endpoint ran it; no more endpoints may run it than its route allows; a
- * status that promises "not run" is told only if no attempt may have run.
+ * Decides after each attempt of a routed request whether it is retried or which final
+ * result is reported. Invariants: a request that is not idempotent is retried only if
+ * certainly no endpoint ran it; the attempts that endpoints may run never exceed the
+ * limit of the route; a status that means "not run" is reported only if no attempt can
+ * have run.
  * <p>
- * Not thread safe: belongs to the event loop of its caller.
+ * Not thread safe: belongs to the event loop of its request.
  */
 public final class RequestProgress {
 
@@ -25,12 +26,10 @@
 
 	private int sentAttempts;
 
-	/**
-	 * Attempts that endpoints ran or may run; those that they turned away don't count.
-	 */
+	/** Attempts that endpoints ran or may run, without those that they refused. */
 	private int attemptsThatMayHaveRun;
 
-	/** Whether an attempt is under way that may run. */
+	/** Whether an attempt that may run is in progress. */
 	private boolean attemptInProgress;
 
 	/** Whether an attempt that ended may have run. */
@@ -45,16 +44,17 @@
 	}
 
 	/**
-	 * An attempt begins.
-	 * @param instance the endpoint's instance
+	 * Record the start of an attempt.
+	 * @param instance the instance of the endpoint
 	 */
 	public void begin(String instance) {
 		this.triedInstances.add(instance);
 	}
 
 	/**
-	 * A byte of the request is about to leave for an endpoint. Until the attempt ends
-	 * otherwise it may run.
+	 * Record that the request is about to be written to an endpoint. From now on the
+	 * attempt may run, unless its end shows otherwise. Must be called before the first
+	 * byte is written.
 	 */
 	public void sent() {
 		this.sentAttempts++;
@@ -63,7 +63,7 @@
 	}
 
 	/**
-	 * A part of an answer was passed on to the caller.
+	 * Record that a part of the response was forwarded to the client.
 	 */
 	public void passedOn() {
 		this.responseForwarded = true;
@@ -71,8 +71,8 @@
 	}
 
 	/**
-	 * An attempt ended.
-	 * @param end how
+	 * Record the end of an attempt.
+	 * @param end how the attempt ended
 	 */
 	public void ended(AttemptEnd end) {
 		this.lastEnd = end;
@@ -84,8 +84,8 @@
 	}
 
 	/**
-	 * Return whether the request may be sent once more after the last attempt.
-	 * @return whether neither the route nor what may have run forbids it
+	 * Return whether the request may be retried after the last attempt.
+	 * @return whether both the route and the earlier attempts permit a retry
 	 */
 	public boolean mayTryAgain() {
 		boolean attemptsLeft = this.attemptsThatMayHaveRun < this.route.maxAttempts();
@@ -95,34 +95,35 @@
 	}
 
 	/**
-	 * Return whether another attempt would be a repeat of one that reached an endpoint,
-	 * which the retry budget pays for.
-	 * @return whether a byte was sent before
+	 * Return whether another attempt would be a retry of one that may have reached an
+	 * endpoint. Such an attempt counts against the retry budget.
+	 * @return whether an earlier attempt was sent
 	 */
 	public boolean isRepeat() {
 		return this.sentAttempts > 0;
 	}
 
 	/**
-	 * Return the endpoints that had their turn.
-	 * @return their instances
+	 * Return the instances of the endpoints that were tried.
+	 * @return the instances
 	 */
 	public Set<String> tried() {
 		return Set.copyOf(this.triedInstances);
 	}
 
 	/**
-	 * Return what is known of the request at its endpoints.
-	 * @return {@link RunState#NOT_RUN} only if no endpoint ran it and none will
+	 * Return whether the request is known not to have run.
+	 * @return {@link RunState#NOT_RUN} only if no endpoint ran the request and none will,
+	 * otherwise {@link RunState#UNKNOWN}
 	 */
 	public RunState runState() {
 		return (this.attemptInProgress || this.earlierAttemptMayHaveRun) ? RunState.UNKNOWN : RunState.NOT_RUN;
 	}
 
 	/**
-	 * Return the code of the final answer when no attempt is left.
-	 * @param timedOut whether the time of the request is over
-	 * @return the code, whose status promises nothing that is not certain
+	 * Return the result code of a request that is not retried any more.
+	 * @param timedOut whether the request timed out
+	 * @return the code, whose status means "not run" only if that is certain
 	 */
 	public ResultCode failure(boolean timedOut) {
 		boolean notRun = runState() == RunState.NOT_RUN;
--- a/core/src/main/java/org/acaciacourse/core/attempt/package-info.java
+++ b/core/src/main/java/org/acaciacourse/core/attempt/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The life of one routed request as a state machine: how attempts end, what follows from
- * it, and what may be told to the caller.
+ * The state machine of one routed request: the end of each attempt, whether another
+ * attempt follows, and which result is reported to the client.
  */
 package org.acaciacourse.core.attempt;
--- a/core/src/test/java/org/acaciacourse/core/attempt/RequestProgressTests.java
+++ b/core/src/test/java/org/acaciacourse/core/attempt/RequestProgressTests.java
@@ -35,8 +35,8 @@
 	@Nested
 	class NonIdempotent {
 
-		// The endpoint may have run the request before the connection broke. Sent again,
-		// the caller's record would be posted twice.
+		// The endpoint may have run the request before the connection broke. A retry
+		// could run it twice, for example store the client's record twice.
 		@ParameterizedTest
 		@EnumSource(value = AttemptEnd.class, names = { "FAILED", "BROKEN", "MISMATCH", "SILENT" })
 		void isNotRetriedOnceItMayHaveRun(AttemptEnd end) {
@@ -58,8 +58,8 @@
 			assertThat(progress.failure(false)).isEqualTo(ResultCode.NO_ENDPOINT);
 		}
 
-		// The second endpoint states that it did not run the request, which says nothing
-		// of the first one. "Not run" would have the caller send it again.
+		// The second endpoint reports that it did not run the request, which says nothing
+		// about the first one. Reporting "not run" would make the client send it again.
 		@Test
 		void laterRefusalDoesNotUndoAnEarlierAttemptThatMayHaveRun() {
 			RequestProgress progress = sent(RequestKind.SAFE, false, AttemptEnd.BROKEN);
@@ -93,9 +93,9 @@
 			assertThat(progress.tried()).containsExactly("a", "b");
 		}
 
-		// A full endpoint turns the one permitted attempt away. No endpoint has run the
-		// request, so that another one may; without it the caller gets a refusal while
-		// the next endpoint is idle.
+		// A full endpoint refuses the only permitted attempt. As no endpoint has run the
+		// request, another one may; otherwise the client would get an error while the
+		// next endpoint is idle.
 		@Test
 		void refusedAttemptDoesNotCountTowardsTheLimit() {
 			RequestProgress progress = new RequestProgress(route(RequestKind.UNSAFE, false, 1));
