--- a/core/src/main/java/org/acaciacourse/core/delivery/AnswerSequence.java
+++ b/core/src/main/java/org/acaciacourse/core/delivery/AnswerSequence.java
@@ -1,11 +1,13 @@
 package org.acaciacourse.core.delivery;
 
 /**
- * Passes the tokens of one answer on in order, each exactly once, whichever attempts they
- * come from: after a resumed or repeated attempt the tokens that the caller has already
- * are skipped, and a gap is refused.
+ * Decides which tokens of a response are forwarded, so that the client receives each
+ * token exactly once and in order, whichever attempt it comes from. When an attempt is
+ * resumed or repeated, the tokens that the client already has are skipped; tokens after a
+ * gap are rejected.
  * <p>
- * Only the count of tokens is held, so that an answer of any length costs the same.
+ * Only the number of tokens is stored, so that the memory does not depend on the length
+ * of the response.
  * <p>
  * Not thread safe: it belongs to the thread that owns the request.
  */
@@ -18,18 +20,18 @@
 	private boolean ended;
 
 	/**
-	 * Let an attempt be the one whose tokens count from now on.
-	 * @param attemptId the attempt
+	 * Accept only the tokens of the given attempt from now on.
+	 * @param attemptId the id of the attempt
 	 */
 	public void follow(long attemptId) {
 		this.currentAttempt = attemptId;
 	}
 
 	/**
-	 * Judge a token.
-	 * @param attemptId the attempt that it came from
-	 * @param index its place in the whole answer, from 0
-	 * @return what to do with it
+	 * Decide whether to forward a token, and count it if so.
+	 * @param attemptId the id of the attempt that it came from
+	 * @param index its index in the whole response, from 0
+	 * @return what to do with the token
 	 */
 	public Verdict token(long attemptId, long index) {
 		if (this.ended || attemptId != this.currentAttempt) {
@@ -46,9 +48,9 @@
 	}
 
 	/**
-	 * Judge the end mark of an answer.
-	 * @param attemptId the attempt that it came from
-	 * @return whether the answer is whole and ends now
+	 * Handle the end marker of a response.
+	 * @param attemptId the id of the attempt that it came from
+	 * @return whether the response is complete with this marker
 	 */
 	public boolean end(long attemptId) {
 		if (this.ended || attemptId != this.currentAttempt) {
@@ -59,16 +61,17 @@
 	}
 
 	/**
-	 * Return how many tokens the caller has.
-	 * @return the number of tokens, where a resumed attempt goes on
+	 * Return the number of tokens that were forwarded to the client.
+	 * @return the number of tokens, which is the index at which a resumed attempt
+	 * continues
 	 */
 	public long passedOn() {
 		return this.forwarded;
 	}
 
 	/**
-	 * Return whether the end mark was passed on.
-	 * @return whether the answer is whole
+	 * Return whether the end marker was accepted.
+	 * @return whether the response is complete
 	 */
 	public boolean isEnded() {
 		return this.ended;
@@ -79,16 +82,16 @@
 	 */
 	public enum Verdict {
 
-		/** Pass it on to the caller. */
+		/** Forward it to the client. */
 		PASS,
 
-		/** The caller has it already. */
+		/** Skip it: the client already has it. */
 		SKIP,
 
-		/** Tokens before it are missing: the attempt can't be used. */
+		/** Tokens before it are missing: the attempt cannot be used. */
 		GAP,
 
-		/** It belongs to another attempt or to an answer that ended: discard it. */
+		/** Discard it: it belongs to another attempt, or the response is complete. */
 		FOREIGN
 
 	}
--- a/core/src/main/java/org/acaciacourse/core/delivery/RunLedger.java
+++ b/core/src/main/java/org/acaciacourse/core/delivery/RunLedger.java
@@ -6,44 +6,44 @@
 import org.acaciacourse.core.code.RunState;
 
 /**
- * What is known about whether one request was run, over all its attempts.
+ * Tracks over all attempts of a request whether the request was run.
  * <p>
- * A caller that is told "not run" may repeat the request, so that the ledger says it only
- * if no attempt can have run: each one either handed no byte to a connection, or was
- * refused by the endpoint under the attempt's own id. Everything else is unknown or run.
- * What is known of an attempt only ever moves towards having run, but for a refusal,
- * which the endpoint itself vouches for.
+ * A client that receives "not run" may repeat the request, so that state is reported only
+ * if no attempt can have run: each attempt either wrote no byte to a connection or was
+ * refused by the endpoint under the id of that attempt. In all other cases the state is
+ * "unknown" or "run". The state of an attempt only moves towards "run", except for a
+ * refusal, which the endpoint itself guarantees.
  * <p>
- * Not thread safe: it belongs to the thread that owns the request.
+ * Not thread safe: belongs to the thread that owns the request.
  */
 public final class RunLedger {
 
 	private final Map<Long, Stage> attempts = new HashMap<>();
 
 	/**
-	 * An attempt begins; no byte of it has been handed to a connection.
-	 * @param attemptId the attempt
+	 * Record the start of an attempt, before any byte is written to a connection.
+	 * @param attemptId the id of the attempt
 	 */
 	public void begin(long attemptId) {
 		this.attempts.putIfAbsent(attemptId, Stage.NOT_SENT);
 	}
 
 	/**
-	 * A byte of the request is about to be handed to a connection. Called before the
-	 * write: after it, a crash between the write and the call would leave the ledger too
-	 * hopeful.
-	 * @param attemptId the attempt
+	 * Record that the request is about to be written to a connection. Must be called
+	 * before the write: otherwise a failure between the write and this call would leave
+	 * the state at "not run".
+	 * @param attemptId the id of the attempt
 	 */
 	public void mayReach(long attemptId) {
 		advance(attemptId, Stage.MAY_HAVE_RUN);
 	}
 
 	/**
-	 * The endpoint said that it did not run the attempt.
-	 * @param attemptId the attempt
-	 * @param refusedAttemptId the id under which the endpoint said so
-	 * @return whether the refusal counts: it must name this attempt, and no byte of an
-	 * answer may have come before
+	 * Record a report of the endpoint that it did not run the attempt.
+	 * @param attemptId the id of the attempt
+	 * @param refusedAttemptId the attempt id in the report of the endpoint
+	 * @return whether the refusal is accepted: it must name this attempt, and no byte of
+	 * a response may have been received before
 	 */
 	public boolean refused(long attemptId, long refusedAttemptId) {
 		if (refusedAttemptId != attemptId || this.attempts.get(attemptId) == Stage.RAN) {
@@ -54,16 +54,16 @@
 	}
 
 	/**
-	 * The endpoint ran the attempt, in part or whole: a byte of its answer came, or the
-	 * endpoint said so.
-	 * @param attemptId the attempt
+	 * Record that the endpoint ran the attempt, in part or completely: a byte of its
+	 * response was received, or the endpoint reported it.
+	 * @param attemptId the id of the attempt
 	 */
 	public void ran(long attemptId) {
 		this.attempts.put(attemptId, Stage.RAN);
 	}
 
 	/**
-	 * Return whether another attempt may be sent for a request that runs at most once.
+	 * Return whether a request that must run at most once may be sent again.
 	 * @return whether no attempt so far can have run
 	 */
 	public boolean mayRunAgain() {
@@ -71,8 +71,8 @@
 	}
 
 	/**
-	 * Return what is known of the request as a whole.
-	 * @return the state to tell the caller
+	 * Return the state of the request over all its attempts.
+	 * @return the state to report to the client
 	 */
 	public RunState state() {
 		return this.attempts.values().stream().map(Stage::state).reduce(RunState.NOT_RUN, RunState::and);
@@ -82,7 +82,7 @@
 		this.attempts.merge(attemptId, stage, (before, next) -> (before.compareTo(next) >= 0) ? before : next);
 	}
 
-	/** What is known of one attempt, in the order in which knowledge can grow. */
+	/** The stages of an attempt, in the order in which it can advance. */
 	private enum Stage {
 
 		NOT_SENT(RunState.NOT_RUN),
--- a/core/src/main/java/org/acaciacourse/core/delivery/package-info.java
+++ b/core/src/main/java/org/acaciacourse/core/delivery/package-info.java
@@ -1,4 +1,4 @@
 /**
- * What is known about each attempt of a request, and which answer belongs to it.
+ * Tracks whether the attempts of a request ran and merges their responses into one.
  */
 package org.acaciacourse.core.delivery;
--- a/core/src/test/java/org/acaciacourse/core/delivery/AnswerSequenceTests.java
+++ b/core/src/test/java/org/acaciacourse/core/delivery/AnswerSequenceTests.java
@@ -19,8 +19,8 @@
  */
 class AnswerSequenceTests {
 
-	// The stream breaks several times; each next attempt starts somewhere at or before
-	// the first missing token. The caller must see 0, 1, 2, ... without a gap or repeat.
+	// The stream breaks several times, and each following attempt starts at or before the
+	// first missing token. The client must receive 0, 1, 2, ... without gaps or repeats.
 	@Property(tries = 2_000, seed = "4712")
 	void forwardsEachTokenOnceAndInOrder(
 			@ForAll @Size(max = 6) List<@IntRange(min = 0, max = 30) Integer> attemptLengths) {
@@ -41,8 +41,8 @@
 	@Nested
 	class UnexpectedTokens {
 
-		// A hedge lost, or an attempt was given up, and its tokens still come in late.
-		// Passing them on would put another attempt's text into this answer.
+		// Tokens of a hedged request that lost or of an abandoned attempt still arrive.
+		// Forwarding them would mix the text of another attempt into the response.
 		@Test
 		void tokensOfAnAbandonedAttemptAreDiscarded() {
 			AnswerSequence sequence = new AnswerSequence();
--- a/core/src/test/java/org/acaciacourse/core/delivery/RunLedgerTests.java
+++ b/core/src/test/java/org/acaciacourse/core/delivery/RunLedgerTests.java
@@ -29,10 +29,10 @@
 		return Combinators.combine(attempts, events).as(Step::new).list().ofMaxSize(25);
 	}
 
-	// The caller is told "not run" and repeats the request. Sends, resets, timeouts,
-	// cancels, refusals and answers of up to three attempts come in any order, and the
-	// fake endpoint runs an attempt whenever its bytes arrive and it does not refuse it.
-	// If it ever ran one, the caller would have had it done twice.
+	// A client that receives "not run" repeats the request, which would then run twice if
+	// an attempt had run. Sends, resets, timeouts, cancellations, refusals and responses
+	// of up to three attempts occur in any order; the fake endpoint runs each attempt
+	// whose bytes arrive unless it refused it.
 	@Property(tries = 20_000, seed = "4711")
 	void neverReportsNotRunForARequestThatRan(@ForAll("interleavings") List<Step> steps) {
 		RunLedger ledger = new RunLedger();
@@ -55,7 +55,7 @@
 	record Step(int attempt, Event event) {
 	}
 
-	/** Runs each attempt that arrives and keeps account of it. */
+	/** Records which attempts it refused and runs all others that arrive. */
 	private static final class FakeEndpoint {
 
 		private final Set<Integer> sent = new HashSet<>();
@@ -76,7 +76,8 @@
 				case ANSWER -> answer(attempt, ledger);
 				case LATE_REFUSAL_OF_OTHER -> ledger.refused(attempt, attempt + 1000L);
 				default -> {
-					// A reset, timeout or cancel tells nothing of what the endpoint did.
+					// A reset, timeout or cancellation does not show what the endpoint
+					// did.
 				}
 			}
 		}
@@ -121,8 +122,8 @@
 			assertThat(ledger.mayRunAgain()).isTrue();
 		}
 
-		// The endpoint answers late with a refusal that belongs to another attempt.
-		// Taking it for this one would tell the caller "not run" of a request that runs.
+		// A late refusal of another attempt arrives. Applying it to this one would report
+		// "not run" to the client for a request that runs.
 		@Test
 		void ignoresARefusalOfAnotherAttempt() {
 			RunLedger ledger = new RunLedger();
