--- a/core/src/main/java/org/acaciacourse/core/state/ControlState.java
+++ b/core/src/main/java/org/acaciacourse/core/state/ControlState.java
@@ -82,7 +82,8 @@
 	 */
 	public CommandResult apply(long index, Command command) {
 		if (index <= this.appliedIndex) {
-			throw new IllegalArgumentException("entry " + index + " is applied already");
+			throw new IllegalArgumentException(
+					"log entry " + index + " is not above the last applied index " + this.appliedIndex);
 		}
 		this.appliedIndex = index;
 		this.time = Math.max(this.time, command.proposedAt());
