--- a/core/src/main/java/org/acaciacourse/core/lease/LeaseTiming.java
+++ b/core/src/main/java/org/acaciacourse/core/lease/LeaseTiming.java
@@ -21,7 +21,9 @@
 	public LeaseTiming {
 		long usable = usable(durationNanos, driftPerThousand, marginNanos);
 		if (renewIntervalNanos <= 0 || driftPerThousand < 0 || marginNanos < 0 || usable <= renewIntervalNanos) {
-			throw new IllegalArgumentException("a lease must outlast the time to its renewal");
+			throw new IllegalArgumentException(
+					"usable lease time of " + usable + " ns must exceed the positive renewal interval of "
+							+ renewIntervalNanos + " ns; drift and margin must not be negative");
 		}
 	}
 
