--- a/core/src/main/java/org/acaciacourse/core/order/OrderTiming.java
+++ b/core/src/main/java/org/acaciacourse/core/order/OrderTiming.java
@@ -20,7 +20,8 @@
 
 	public OrderTiming {
 		if (orderTimeoutNanos <= 0 || rereadNanos <= 0 || unloadDelayNanos < 0) {
-			throw new IllegalArgumentException("times must be positive");
+			throw new IllegalArgumentException(
+					"order timeout and reread interval must be positive, unload delay must not be negative");
 		}
 	}
 
--- a/core/src/main/java/org/acaciacourse/core/order/WeightBudget.java
+++ b/core/src/main/java/org/acaciacourse/core/order/WeightBudget.java
@@ -33,7 +33,8 @@
 	 */
 	public WeightBudget(int capacity, double perSecond, long now) {
 		if (capacity < Tier.values().length || !(perSecond > 0)) {
-			throw new IllegalArgumentException("each tier needs a token, and tokens must come in");
+			throw new IllegalArgumentException(
+					"capacity must be at least one token per tier and the rate must be positive");
 		}
 		this.capacity = capacity;
 		this.tokensPerNano = perSecond / 1e9;
