--- a/core/src/main/java/org/acaciacourse/core/model/Customer.java
+++ b/core/src/main/java/org/acaciacourse/core/model/Customer.java
@@ -25,7 +25,8 @@
 		keyDigests = Set.copyOf(keyDigests);
 		classes = List.copyOf(classes);
 		if (maxInFlight < 1 || weight < 1 || !(requestsPerSecond > 0)) {
-			throw new IllegalArgumentException("limits must be positive");
+			throw new IllegalArgumentException(
+					"maxInFlight, requestsPerSecond and weight must be positive, customer " + name);
 		}
 	}
 
--- a/core/src/main/java/org/acaciacourse/core/model/Endpoint.java
+++ b/core/src/main/java/org/acaciacourse/core/model/Endpoint.java
@@ -23,7 +23,7 @@
 		Objects.requireNonNull(address, "address");
 		Objects.requireNonNull(dataCentre, "dataCentre");
 		if (slots < 1) {
-			throw new IllegalArgumentException("slots must be at least 1");
+			throw new IllegalArgumentException("slots must be at least 1, got " + slots);
 		}
 	}
 
--- a/core/src/main/java/org/acaciacourse/core/model/LatencyTarget.java
+++ b/core/src/main/java/org/acaciacourse/core/model/LatencyTarget.java
@@ -18,7 +18,7 @@
 	public LatencyTarget {
 		Objects.requireNonNull(kind, "kind");
 		if (limit.isNegative() || limit.isZero()) {
-			throw new IllegalArgumentException("limit must be positive");
+			throw new IllegalArgumentException("latency target must be positive, got " + limit);
 		}
 	}
 
--- a/core/src/main/java/org/acaciacourse/core/model/PolicyInForce.java
+++ b/core/src/main/java/org/acaciacourse/core/model/PolicyInForce.java
@@ -19,7 +19,7 @@
 		Objects.requireNonNull(policy, "policy");
 		Objects.requireNonNull(split, "split");
 		if (splitPercent < 0 || splitPercent > 100) {
-			throw new IllegalArgumentException("splitPercent must be 0 to 100");
+			throw new IllegalArgumentException("splitPercent must be between 0 and 100, got " + splitPercent);
 		}
 	}
 
--- a/core/src/main/java/org/acaciacourse/core/model/RequestClass.java
+++ b/core/src/main/java/org/acaciacourse/core/model/RequestClass.java
@@ -24,10 +24,11 @@
 		Objects.requireNonNull(tier, "tier");
 		Objects.requireNonNull(target, "target");
 		if (deadline.compareTo(target.limit()) < 0) {
-			throw new IllegalArgumentException("deadline must not be shorter than the target");
+			throw new IllegalArgumentException(
+					"deadline " + deadline + " is shorter than the latency target " + target.limit());
 		}
 		if (preemptible && tier == Tier.HIGH) {
-			throw new IllegalArgumentException("the high tier is never preempted");
+			throw new IllegalArgumentException("a request class of the high tier cannot be preemptible");
 		}
 		endpointSets = List.copyOf(endpointSets);
 	}
--- a/core/src/main/java/org/acaciacourse/core/model/Service.java
+++ b/core/src/main/java/org/acaciacourse/core/model/Service.java
@@ -43,7 +43,7 @@
 
 		public Call {
 			if (!pathPrefix.startsWith("/")) {
-				throw new IllegalArgumentException("path must start with a slash");
+				throw new IllegalArgumentException("path prefix must start with a slash: " + pathPrefix);
 			}
 		}
 
