--- a/core/src/main/java/org/acaciacourse/core/dispatch/Run.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/ActiveAttempt.java
@@ -5,7 +5,7 @@
  * <p>
  * Not thread safe: owned by one dispatcher.
  */
-final class Run {
+final class ActiveAttempt {
 
 	final long id;
 
@@ -19,10 +19,10 @@
 	final boolean guaranteed;
 
 	/** Was sent beyond the slots of the endpoint. */
-	final boolean beyond;
+	final boolean overcommitted;
 
 	/** Runs apart from other requests. */
-	final boolean apart;
+	final boolean isolated;
 
 	long lastTokenAt;
 
@@ -31,14 +31,15 @@
 	/** This VM asked for the cancellation. */
 	boolean cancelled;
 
-	Run(long id, PendingRequest pending, EndpointView endpoint, long sentAt, boolean guaranteed, boolean beyond) {
+	ActiveAttempt(long id, PendingRequest pending, EndpointView endpoint, long sentAt, boolean guaranteed,
+			boolean overcommitted) {
 		this.id = id;
 		this.pending = pending;
 		this.endpoint = endpoint;
 		this.sentAt = sentAt;
 		this.guaranteed = guaranteed;
-		this.beyond = beyond;
-		this.apart = pending.apart;
+		this.overcommitted = overcommitted;
+		this.isolated = pending.isolated;
 		this.lastTokenAt = sentAt;
 	}
 
--- a/core/src/main/java/org/acaciacourse/core/dispatch/Admission.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/Admission.java
@@ -32,31 +32,32 @@
 	/**
 	 * Return the refusal of a request that cannot be admitted.
 	 * @param pending the request, not yet in a line
-	 * @param line the line it would wait in
+	 * @param queue the line it would wait in
 	 * @param now the time
 	 * @return the reason and the time to come back, empty if it is admitted
 	 */
-	Optional<Refusal> check(PendingRequest pending, WaitingLine line, long now) {
+	Optional<Refusal> check(PendingRequest pending, PolicyQueue queue, long now) {
 		if (this.state.suspects.crashes(pending.info.contentHash(), now) >= SuspectTable.CONVICTION) {
 			return Refusal.of(ResultCode.CRASHING_CONTENT, 0);
 		}
 		if (pending.deadlineAt <= now) {
 			return Refusal.of(ResultCode.DEADLINE_EXCEEDED, 0);
 		}
-		if (!pending.set.hasEndpointInService()) {
+		if (!pending.endpointSet.hasEndpointInService()) {
 			return Refusal.of(ResultCode.NO_ENDPOINT, NO_ENDPOINT_WAIT_NANOS);
 		}
-		if (line.behaviour.heedsTargets()) {
-			long wait = expectedWait(pending, line, now);
-			long least = pending.set.leastTime(pending, line.tuning, this.state.entryCount, now);
-			if (now + wait + least > pending.targetAt) {
-				this.state.tellUnreachable(pending, line, wait, least, now);
+		if (queue.behaviour.enforcesTargets()) {
+			long wait = expectedWait(pending, queue, now);
+			long minServiceTime = pending.endpointSet.minServiceTime(pending, queue.settings, this.state.entryCount,
+					now);
+			if (now + wait + minServiceTime > pending.targetAt) {
+				this.state.reportUnreachable(pending, queue, wait, minServiceTime, now);
 				return Refusal.of(ResultCode.TARGET_UNREACHABLE, wait);
 			}
 		}
-		int free = line.tuning.maxQueued() - pending.set.waiting();
-		boolean full = free <= 0 && !shedLower(pending, line);
-		if (full || line.sizeOfFlow(pending) > Math.max(0, free)) {
+		int free = queue.settings.maxQueued() - pending.endpointSet.waitingCount();
+		boolean full = free <= 0 && !shedLowerTier(pending, queue);
+		if (full || queue.sizeOfFlow(pending) > Math.max(0, free)) {
 			return Refusal.of(ResultCode.QUEUE_FULL, FULL_WAIT_NANOS);
 		}
 		return Optional.empty();
@@ -64,17 +65,17 @@
 
 	// Estimate the wait for an endpoint by Little's law: what waits before the request,
 	// times the mean time that one takes, over the requests that run side by side.
-	long expectedWait(PendingRequest pending, WaitingLine line, long now) {
-		int ahead = line.aheadOf(pending);
+	long expectedWait(PendingRequest pending, PolicyQueue queue, long now) {
+		int ahead = queue.aheadOf(pending);
 		if (ahead == 0) {
 			return 0;
 		}
-		double duration = pending.set.meanDuration(pending.info.requestClass());
-		int sideBySide = Math.max(1, Math.max(pending.set.running, ownPart(pending.set)));
-		return (long) (ahead * duration / sideBySide);
+		double duration = pending.endpointSet.meanDuration(pending.info.requestClass());
+		int concurrency = Math.max(1, Math.max(pending.endpointSet.activeAttempts, ownSlots(pending.endpointSet)));
+		return (long) (ahead * duration / concurrency);
 	}
 
-	private int ownPart(ServingSet set) {
+	private int ownSlots(EndpointSetState set) {
 		int slots = 0;
 		for (EndpointView endpoint : set.endpoints) {
 			slots += endpoint.isHealthy() ? endpoint.usableSlots() : 0;
@@ -82,14 +83,14 @@
 		return slots / this.state.entryCount;
 	}
 
-	private boolean shedLower(PendingRequest pending, WaitingLine line) {
-		if (!line.behaviour.heedsTargets()) {
+	private boolean shedLowerTier(PendingRequest pending, PolicyQueue queue) {
+		if (!queue.behaviour.enforcesTargets()) {
 			return false;
 		}
 		Tier tier = pending.requestClass.tier();
 		PendingRequest[] victim = new PendingRequest[1];
-		pending.set.lines.values().forEach((other) -> other.forEach((candidate) -> {
-			if (tier.outranks(candidate.requestClass.tier()) && goesBefore(candidate, victim[0])) {
+		pending.endpointSet.queues.values().forEach((other) -> other.forEach((candidate) -> {
+			if (tier.outranks(candidate.requestClass.tier()) && isShedBefore(candidate, victim[0])) {
 				victim[0] = candidate;
 			}
 		}));
@@ -101,12 +102,12 @@
 	}
 
 	// The lowest tier is shed first, and of it the one that has waited least.
-	private static boolean goesBefore(PendingRequest candidate, PendingRequest other) {
+	private static boolean isShedBefore(PendingRequest candidate, PendingRequest other) {
 		if (other == null || other.requestClass.tier().outranks(candidate.requestClass.tier())) {
 			return true;
 		}
-		return candidate.requestClass.tier() == other.requestClass.tier() && candidate.attempts == 0
-				&& (other.attempts > 0 || candidate.arrivedAt >= other.arrivedAt);
+		return candidate.requestClass.tier() == other.requestClass.tier() && candidate.attemptCount == 0
+				&& (other.attemptCount > 0 || candidate.arrivedAt >= other.arrivedAt);
 	}
 
 	/**
--- a/core/src/main/java/org/acaciacourse/core/dispatch/AttemptOutcome.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/AttemptOutcome.java
@@ -49,7 +49,7 @@
 	 * Return whether the outcome speaks against the endpoint.
 	 * @return whether the endpoint is to be distrusted
 	 */
-	public boolean blamesEndpoint() {
+	public boolean isEndpointFailure() {
 		return this == NOT_SENT || this == LOST || this == SILENT || this == CRASHED;
 	}
 
--- a/core/src/main/java/org/acaciacourse/core/dispatch/DispatchState.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/DispatchState.java
@@ -20,35 +20,35 @@
  * force.
  * <p>
  * Invariants: a request is known by its request number exactly until its final answer;
- * each known request is in {@link #due}.
+ * each known request is in {@link #dueRequests}.
  * <p>
  * Not thread safe: owned by one dispatcher.
  */
 final class DispatchState {
 
-	private static final double RETRY_RESERVE = 64;
+	private static final double RETRY_BUDGET_CAPACITY = 64;
 
-	private static final double RETRY_RATIO = 0.1;
+	private static final double RETRY_BUDGET_RATIO = 0.1;
 
-	private static final long LONGEST_RETRY_AFTER_NANOS = 120_000_000_000L;
+	private static final long MAX_RETRY_AFTER_NANOS = 120_000_000_000L;
 
-	private static final long LONGEST_HOLD_NANOS = 5_000_000_000L;
+	private static final long MAX_LANE_BLOCK_NANOS = 5_000_000_000L;
 
-	private static final long SHORTEST_RETRY_AFTER_NANOS = 200_000_000L;
+	private static final long MIN_RETRY_AFTER_NANOS = 200_000_000L;
 
 	final DispatchActions actions;
 
 	final SplittableRandom random;
 
-	final RunTable runs = new RunTable();
+	final AttemptTable attempts = new AttemptTable();
 
 	final Map<Long, PendingRequest> requests = new HashMap<>();
 
-	final TreeSet<PendingRequest> due = new TreeSet<>(
+	final TreeSet<PendingRequest> dueRequests = new TreeSet<>(
 			Comparator.comparingLong((PendingRequest pending) -> pending.dueAt)
 				.thenComparingLong((pending) -> pending.info.id()));
 
-	final Map<String, ServingSet> sets = new TreeMap<>();
+	final Map<String, EndpointSetState> sets = new TreeMap<>();
 
 	final Map<String, EndpointView> endpoints = new TreeMap<>();
 
@@ -63,19 +63,20 @@
 	/** The place of this VM among the entry VMs, -1 if unknown. */
 	int entryIndex = -1;
 
-	final SlotDealer dealer = new SlotDealer(this);
+	final FreeSlotAllocator slotAllocator = new FreeSlotAllocator(this);
 
 	boolean draining;
 
-	private final Map<String, RetryBudget> retries = new HashMap<>();
+	private final Map<String, RetryBudget> retryBudgets = new HashMap<>();
 
 	DispatchState(DispatchActions actions, long seed) {
 		this.actions = actions;
 		this.random = new SplittableRandom(seed);
 	}
 
-	RetryBudget retries(String requestClass) {
-		return this.retries.computeIfAbsent(requestClass, (name) -> new RetryBudget(RETRY_RESERVE, RETRY_RATIO));
+	RetryBudget retryBudget(String requestClass) {
+		return this.retryBudgets.computeIfAbsent(requestClass,
+				(name) -> new RetryBudget(RETRY_BUDGET_CAPACITY, RETRY_BUDGET_RATIO));
 	}
 
 	// Return a factor around 1 that keeps VMs and retries from moving in step.
@@ -84,16 +85,16 @@
 	}
 
 	void reschedule(PendingRequest pending, long dueAt) {
-		this.due.remove(pending);
+		this.dueRequests.remove(pending);
 		pending.dueAt = dueAt;
-		this.due.add(pending);
+		this.dueRequests.add(pending);
 	}
 
 	// Forget a request that has its final answer.
 	void close(PendingRequest pending) {
 		pending.state = PendingRequest.State.DONE;
 		this.requests.remove(pending.info.id());
-		this.due.remove(pending);
+		this.dueRequests.remove(pending);
 		pending.limit.release();
 	}
 
@@ -103,44 +104,46 @@
 			return;
 		}
 		if (pending.state == PendingRequest.State.WAITING) {
-			pending.line.remove(pending);
+			pending.queue.remove(pending);
 		}
-		abandonRun(pending);
+		cancelAttempt(pending);
 		close(pending);
 		this.actions.finish(pending.info.id(), code, retryAfter(code, waitNanos));
 	}
 
 	// Refuse a request whose target is out of reach.
-	void refuseLate(PendingRequest pending, long now) {
-		tellUnreachable(pending, pending.line, 0, pending.set.leastTime(pending), now);
-		holdPlace(pending, pending.line, now);
+	void refuseUnreachable(PendingRequest pending, long now) {
+		reportUnreachable(pending, pending.queue, 0, pending.endpointSet.minServiceTime(pending), now);
+		blockLowerLanes(pending, pending.queue, now);
 		finish(pending, ResultCode.TARGET_UNREACHABLE, pending.targetAt - pending.arrivedAt);
 	}
 
-	void tellUnreachable(PendingRequest pending, WaitingLine line, long expectedWait, long leastTime, long now) {
+	void reportUnreachable(PendingRequest pending, PolicyQueue queue, long expectedWait, long minServiceTime,
+			long now) {
 		int healthy = 0;
 		int slots = 0;
-		for (EndpointView endpoint : pending.set.endpoints) {
+		for (EndpointView endpoint : pending.endpointSet.endpoints) {
 			healthy += (endpoint.isHealthy()) ? 1 : 0;
 			slots += (endpoint.isHealthy()) ? endpoint.usableSlots() : 0;
 		}
 		this.actions.unreachable(pending.info.id(),
-				new TargetEstimate(now - pending.arrivedAt, expectedWait, leastTime,
-						pending.targetAt - pending.arrivedAt, line.aheadOf(pending), pending.set.running, healthy,
-						slots, (long) pending.set.meanDuration(pending.info.requestClass())));
+				new TargetEstimate(now - pending.arrivedAt, expectedWait, minServiceTime,
+						pending.targetAt - pending.arrivedAt, queue.aheadOf(pending),
+						pending.endpointSet.activeAttempts, healthy, slots,
+						(long) pending.endpointSet.meanDuration(pending.info.requestClass())));
 	}
 
 	// Keep the place of a refused request from lower ones.
-	void holdPlace(PendingRequest pending, WaitingLine line, long now) {
-		int lane = line.behaviour.lane(pending.requestClass.tier());
-		pending.set.hold(lane, Math.min(pending.targetAt, now + LONGEST_HOLD_NANOS));
+	void blockLowerLanes(PendingRequest pending, PolicyQueue queue, long now) {
+		int lane = queue.behaviour.lane(pending.requestClass.tier());
+		pending.endpointSet.blockLanesBelow(lane, Math.min(pending.targetAt, now + MAX_LANE_BLOCK_NANOS));
 	}
 
 	// Cancel the run of a request that needs no answer of it any more.
-	void abandonRun(PendingRequest pending) {
-		if (pending.run != null && !pending.run.cancelled) {
-			pending.run.cancelled = true;
-			this.actions.cancel(pending.run.id);
+	void cancelAttempt(PendingRequest pending) {
+		if (pending.attempt != null && !pending.attempt.cancelled) {
+			pending.attempt.cancelled = true;
+			this.actions.cancel(pending.attempt.id);
 		}
 	}
 
@@ -149,7 +152,7 @@
 			return Optional.empty();
 		}
 		long nanos = (long) (waitNanos * jitter());
-		nanos = Math.max(SHORTEST_RETRY_AFTER_NANOS, Math.min(LONGEST_RETRY_AFTER_NANOS, nanos));
+		nanos = Math.max(MIN_RETRY_AFTER_NANOS, Math.min(MAX_RETRY_AFTER_NANOS, nanos));
 		return Optional.of(Duration.ofNanos(nanos));
 	}
 
--- /dev/null
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/EndpointSetState.java
@@ -0,0 +1,303 @@
+package org.acaciacourse.core.dispatch;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+
+import org.acaciacourse.core.dispatch.learn.DecayingHistogram;
+import org.acaciacourse.core.dispatch.learn.MovingAverage;
+import org.acaciacourse.core.model.EndpointSet;
+import org.acaciacourse.core.model.Tier;
+
+/**
+ * One endpoint set with its endpoints, the requests that wait for it and what was learnt
+ * from the traffic.
+ * <p>
+ * Invariants: learnt state is bounded by classes and {@link #MAX_HISTOGRAMS}; the ledger
+ * of the low tier is clamped, so that an idle hour does not buy a burst.
+ * <p>
+ * Not thread safe: owned by one dispatcher.
+ */
+final class EndpointSetState {
+
+	private static final int MAX_HISTOGRAMS = 8_192;
+
+	private static final double DEFAULT_ANSWER_TOKENS = 200;
+
+	private static final double MAX_OWED_TOKENS = 2_000;
+
+	/** How far its own tokens may carry the low tier ahead of its share. */
+	private static final double MAX_ADVANCE_TOKENS = 600;
+
+	private static final double FIRST_TOKEN_QUANTILE = 0.9;
+
+	private static final double DURATION_QUANTILE = 0.5;
+
+	private static final double TIER_MIX_GAIN = 0.03;
+
+	private static final int ISOLATION_DIVISOR = 6;
+
+	/** An endpoint is idle with at most this part of its slots in use. */
+	private static final int IDLE_DIVISOR = 4;
+
+	private static final double IDLE_RELAXATION = 0.02;
+
+	final String name;
+
+	final List<EndpointView> endpoints = new ArrayList<>();
+
+	final Map<String, PolicyQueue> queues = new LinkedHashMap<>();
+
+	EndpointSet definition;
+
+	/** What may be sent beyond the slots. */
+	final OvercommitWindow overcommitWindow = new OvercommitWindow();
+
+	int activeAttempts;
+
+	int guaranteedAttempts;
+
+	int nextQueue;
+
+	private final Map<String, DecayingHistogram> answerTokens = new HashMap<>();
+
+	private final Map<String, DecayingHistogram> durations = new HashMap<>();
+
+	private final Map<String, DecayingHistogram> firstTokenTimes = new HashMap<>();
+
+	private final List<EndpointView> isolationEndpoints = new ArrayList<>();
+
+	private final long[] lowerLanesBlockedUntil = new long[PolicyQueue.LANE_COUNT];
+
+	private long isolationSince;
+
+	private final MovingAverage lowerTierShare = new MovingAverage(TIER_MIX_GAIN);
+
+	private double owedTokens;
+
+	private double medianTokenGap;
+
+	EndpointSetState(EndpointSet definition) {
+		this.name = definition.name();
+		this.definition = definition;
+	}
+
+	int waitingCount() {
+		int count = 0;
+		for (PolicyQueue queue : this.queues.values()) {
+			count += queue.size();
+		}
+		return count;
+	}
+
+	boolean hasEndpointInService() {
+		return this.endpoints.stream().anyMatch(EndpointView::isInService);
+	}
+
+	boolean canResume() {
+		return this.definition.resumable() || this.definition.deterministic();
+	}
+
+	// What was learnt
+
+	void recordAnswerLength(PendingRequest pending) {
+		String requestClass = pending.info.requestClass();
+		histogram(this.answerTokens, requestClass).record(pending.deliveredTokens);
+		if (this.answerTokens.size() < MAX_HISTOGRAMS) {
+			histogram(this.answerTokens, customerKey(pending)).record(pending.deliveredTokens);
+		}
+	}
+
+	void recordDuration(ActiveAttempt attempt, long now) {
+		histogram(this.durations, attempt.pending.info.requestClass()).record((now - attempt.sentAt) / 1e6);
+	}
+
+	void recordFirstTokenTime(PendingRequest pending, long nanos) {
+		histogram(this.firstTokenTimes, pending.info.requestClass()).record(nanos / 1e6);
+	}
+
+	double expectedTokens(PendingRequest pending) {
+		DecayingHistogram own = this.answerTokens.get(customerKey(pending));
+		if (own != null && own.hasEnoughSamples()) {
+			return own.mean(DEFAULT_ANSWER_TOKENS);
+		}
+		DecayingHistogram all = this.answerTokens.get(pending.info.requestClass());
+		return (all != null) ? all.mean(DEFAULT_ANSWER_TOKENS) : DEFAULT_ANSWER_TOKENS;
+	}
+
+	// Return the mean time at an endpoint of a class in nanoseconds, 0 if unknown.
+	double meanDuration(String requestClass) {
+		DecayingHistogram histogram = this.durations.get(requestClass);
+		return (histogram != null) ? histogram.mean(0) * 1e6 : 0;
+	}
+
+	// Return the least time from dispatch to the target in nanoseconds that is still
+	// plausible: with less left, the target is out of reach.
+	long minServiceTime(PendingRequest pending) {
+		if (pending.isFirstTokenTarget()) {
+			DecayingHistogram first = this.firstTokenTimes.get(pending.info.requestClass());
+			return (first != null) ? (long) (first.quantile(FIRST_TOKEN_QUANTILE, 0) * 1e6) : 0;
+		}
+		DecayingHistogram histogram = this.durations.get(pending.info.requestClass());
+		return (histogram != null) ? (long) (histogram.quantile(DURATION_QUANTILE, 0) * 1e6) : 0;
+	}
+
+	// Return the least time as a reason to refuse: nothing while an endpoint is idle.
+	// What was learnt under load or during a fault says little of an idle endpoint, and
+	// a refusal teaches nothing: without this a fault that made all answers late would
+	// have every later request refused, for good. A request that an idle endpoint takes
+	// is the probe that brings the estimate back.
+	long minServiceTime(PendingRequest pending, PolicySettings settings, int entryCount, long now) {
+		return (hasIdleEndpoint(settings, entryCount, now)) ? 0 : minServiceTime(pending);
+	}
+
+	private boolean hasIdleEndpoint(PolicySettings settings, int entryCount, long now) {
+		for (EndpointView endpoint : this.endpoints) {
+			if (endpoint.acceptsRequests(now) && !endpoint.reservedForIsolation
+					&& endpoint.occupancy(settings, entryCount, now) * IDLE_DIVISOR <= endpoint.usableSlots()) {
+				return true;
+			}
+		}
+		return false;
+	}
+
+	private static String customerKey(PendingRequest pending) {
+		return pending.flow;
+	}
+
+	private static DecayingHistogram histogram(Map<String, DecayingHistogram> histograms, String key) {
+		return histograms.computeIfAbsent(key, (k) -> new DecayingHistogram());
+	}
+
+	// The guaranteed share of the low tier
+
+	// Book tokens: all of them earn the low tier its share, its own use it up.
+	void accountTokens(boolean low, int count, double share) {
+		this.owedTokens += share * count - ((low) ? count : 0);
+		this.owedTokens = Math.max(-MAX_ADVANCE_TOKENS, Math.min(MAX_OWED_TOKENS, this.owedTokens));
+	}
+
+	// Return whether the low tier is behind its share and may start a run that is not
+	// preempted. One at a time, or the share of the runs, whichever is more: that bounds
+	// what the upper tiers lose at any moment.
+	boolean isLowTierOwed(double share) {
+		return this.owedTokens > 0 && this.guaranteedAttempts < Math.max(1, (int) (share * this.activeAttempts));
+	}
+
+	// Stragglers
+
+	// Compare each endpoint with the median of its peers. An endpoint that got nothing to
+	// do drifts back to the median, so that it is tried again.
+	void updateSlowdowns(double stragglerFactor) {
+		double[] gaps = this.endpoints.stream()
+			.filter((endpoint) -> endpoint.tokenGap.isInitialized())
+			.mapToDouble((endpoint) -> endpoint.tokenGap.get(0))
+			.sorted()
+			.toArray();
+		if (gaps.length < 3) {
+			this.endpoints.forEach((endpoint) -> endpoint.slowdown = 1);
+			return;
+		}
+		this.medianTokenGap = gaps[(gaps.length - 1) / 2];
+		for (EndpointView endpoint : this.endpoints) {
+			if (endpoint.attempts.isEmpty() && endpoint.tokenGap.isInitialized()) {
+				endpoint.tokenGap.relaxTowards(this.medianTokenGap, IDLE_RELAXATION);
+			}
+			double ratio = endpoint.tokenGap.get(this.medianTokenGap) / this.medianTokenGap;
+			endpoint.slowdown = (ratio > stragglerFactor) ? ratio : 1;
+		}
+	}
+
+	// The mix of tiers
+
+	// Learn the share of lower work among this VM's runs. Traffic is spread over the VMs
+	// by chance, so that the share of the others is much the same.
+	void updateTierMix() {
+		int lower = 0;
+		int all = 0;
+		for (EndpointView endpoint : this.endpoints) {
+			all += endpoint.attempts.size();
+			for (ActiveAttempt attempt : endpoint.attempts) {
+				lower += (attempt.pending.requestClass.tier() != Tier.HIGH && !attempt.guaranteed) ? 1 : 0;
+			}
+		}
+		if (all > 0) {
+			this.lowerTierShare.update(lower / (double) all);
+		}
+	}
+
+	// Return how many slots hold lower work of any VM, as far as this VM's own mix tells.
+	double lowerTierSlots() {
+		int slots = 0;
+		for (EndpointView endpoint : this.endpoints) {
+			slots += (endpoint.isHealthy()) ? endpoint.usableSlots() : 0;
+		}
+		return this.lowerTierShare.get(1) * slots;
+	}
+
+	// Suspects
+
+	// Set endpoints aside for suspects, or give them back: a sixth, the last by name, so
+	// that all VMs take the same ones without a word between them. Return whether there
+	// are any.
+	boolean updateIsolation(boolean suspected, long now) {
+		boolean active = suspected || hasIsolatedWaiting();
+		if (!active && this.isolationEndpoints.isEmpty()) {
+			return false;
+		}
+		this.isolationSince = (this.isolationEndpoints.isEmpty()) ? now : this.isolationSince;
+		this.isolationEndpoints.forEach((endpoint) -> endpoint.reservedForIsolation = false);
+		this.isolationEndpoints.clear();
+		if (active) {
+			this.endpoints.stream().filter(EndpointView::isHealthy).forEach(this.isolationEndpoints::add);
+			int most = Math.max(1, this.isolationEndpoints.size() / ISOLATION_DIVISOR);
+			this.isolationEndpoints.subList(0, Math.max(0, this.isolationEndpoints.size() - most)).clear();
+			boolean others = this.endpoints.size() > 1;
+			this.isolationEndpoints.forEach((endpoint) -> endpoint.reservedForIsolation = others);
+		}
+		return active;
+	}
+
+	private boolean hasIsolatedWaiting() {
+		for (PolicyQueue queue : this.queues.values()) {
+			for (int lane = 0; lane < PolicyQueue.LANE_COUNT; lane++) {
+				for (PendingRequest pending : queue.requeued(lane)) {
+					if (pending.isolated) {
+						return true;
+					}
+				}
+			}
+		}
+		return false;
+	}
+
+	long isolationSince() {
+		return this.isolationSince;
+	}
+
+	// What was refused
+
+	// Hold lower lanes back after a refusal: until then the place of the refused request
+	// must not go to a lower one, should the estimate have been too dark.
+	void blockLanesBelow(int lane, long until) {
+		this.lowerLanesBlockedUntil[lane] = Math.max(this.lowerLanesBlockedUntil[lane], until);
+	}
+
+	// Return whether something above a lane was refused so lately that the lane must
+	// wait.
+	boolean isLaneBlocked(int lane, long now) {
+		for (int upper = 0; upper < lane; upper++) {
+			if (now < this.lowerLanesBlockedUntil[upper]) {
+				return true;
+			}
+		}
+		return false;
+	}
+
+	List<EndpointView> isolationEndpoints() {
+		return this.isolationEndpoints;
+	}
+
+}
--- a/core/src/main/java/org/acaciacourse/core/dispatch/EndpointView.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/EndpointView.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Set;
 
-import org.acaciacourse.core.dispatch.learn.Average;
+import org.acaciacourse.core.dispatch.learn.MovingAverage;
 import org.acaciacourse.core.dispatch.retry.RetryBudget;
 import org.acaciacourse.core.model.Endpoint;
 
@@ -21,11 +21,11 @@
  */
 final class EndpointView {
 
-	private static final int PREFIXES_KEPT = 1_024;
+	private static final int MAX_PREFIXES = 1_024;
 
-	private static final int ENDED_KEPT = 64;
+	private static final int MAX_ENDED_ATTEMPTS = 64;
 
-	private static final long FIRST_PAUSE_NANOS = 1_000_000_000L;
+	private static final long INITIAL_PAUSE_NANOS = 1_000_000_000L;
 
 	private static final long SHORT_PAUSE_NANOS = 200_000_000L;
 
@@ -33,36 +33,36 @@
 
 	private static final int FAILURES_FOR_PAUSE = 3;
 
-	private static final double RETRY_RESERVE = 32;
+	private static final double RETRY_BUDGET_CAPACITY = 32;
 
-	private static final double RETRY_RATIO = 0.2;
+	private static final double RETRY_BUDGET_RATIO = 0.2;
 
 	final String name;
 
-	final List<Run> runs = new ArrayList<>();
+	final List<ActiveAttempt> attempts = new ArrayList<>();
 
 	/** Observed nanoseconds between tokens. */
-	final Average tokenGap = new Average(0.05);
+	final MovingAverage tokenGap = new MovingAverage(0.05);
 
-	final RetryBudget retries = new RetryBudget(RETRY_RESERVE, RETRY_RATIO);
+	final RetryBudget retryBudget = new RetryBudget(RETRY_BUDGET_CAPACITY, RETRY_BUDGET_RATIO);
 
-	Endpoint endpoint;
+	Endpoint definition;
 
 	/** How much slower than its peers it is; 1 for an ordinary endpoint. */
-	double slowness = 1;
+	double slowdown = 1;
 
 	/** Set aside for a request that may crash it. */
-	boolean quarantined;
+	boolean reservedForIsolation;
 
 	private final Set<Long> prefixes = new LinkedHashSet<>();
 
-	private final long[] endedSentAt = new long[ENDED_KEPT];
+	private final long[] endedSentAt = new long[MAX_ENDED_ATTEMPTS];
 
-	private final long[] endedAt = new long[ENDED_KEPT];
+	private final long[] endedAt = new long[MAX_ENDED_ATTEMPTS];
 
 	private int endedNext;
 
-	private long lastUse;
+	private long lastAttemptId;
 
 	private EndpointStatus status = EndpointStatus.LIVE;
 
@@ -70,11 +70,11 @@
 
 	private long reportedAt = Long.MIN_VALUE;
 
-	private int estimate;
+	private int estimatedLoad;
 
-	private int tickets;
+	private int allocatedSlots;
 
-	private int pendingPrompt;
+	private int pendingPromptTokens;
 
 	private long pausedUntil = Long.MIN_VALUE;
 
@@ -82,19 +82,19 @@
 
 	private long fullUntil = Long.MIN_VALUE;
 
-	EndpointView(Endpoint endpoint) {
-		this.name = endpoint.name();
-		this.endpoint = endpoint;
+	EndpointView(Endpoint definition) {
+		this.name = definition.name();
+		this.definition = definition;
 	}
 
-	void status(EndpointStatus next) {
+	void updateStatus(EndpointStatus next) {
 		if (next == EndpointStatus.LIVE && this.status == EndpointStatus.GONE) {
-			restarted();
+			resetAfterRestart();
 		}
 		this.status = next;
 	}
 
-	private void restarted() {
+	private void resetAfterRestart() {
 		this.failures = 0;
 		this.pausedUntil = Long.MIN_VALUE;
 		this.prefixes.clear();
@@ -103,68 +103,68 @@
 
 	// Take a report. One that repeats its sequence is frozen and tells nothing, which
 	// lets the last good one grow stale.
-	void report(LoadReport report, SlotDealer dealer, long now) {
+	void applyReport(LoadReport report, FreeSlotAllocator slotAllocator, long now) {
 		if (report.sequence() == this.lastSequence) {
 			return;
 		}
 		this.lastSequence = report.sequence();
 		long measuredAt = now - report.ageNanos();
 		this.reportedAt = measuredAt;
-		this.estimate = report.running() + report.queued() + sentAfter(measuredAt) - endedAfter(measuredAt);
-		this.tickets = endedAfter(measuredAt) - sentAfter(measuredAt);
-		int room = usableSlots() - report.running() - report.queued();
-		this.tickets += dealer.deal(room, this.name, report.sequence());
+		this.estimatedLoad = report.running() + report.queued() + sentAfter(measuredAt) - endedAfter(measuredAt);
+		this.allocatedSlots = endedAfter(measuredAt) - sentAfter(measuredAt);
+		int freeSlots = usableSlots() - report.running() - report.queued();
+		this.allocatedSlots += slotAllocator.allocate(freeSlots, this.name, report.sequence());
 	}
 
 	private int sentAfter(long time) {
 		int count = 0;
-		for (Run run : this.runs) {
-			count += (run.sentAt > time) ? 1 : 0;
+		for (ActiveAttempt attempt : this.attempts) {
+			count += (attempt.sentAt > time) ? 1 : 0;
 		}
 		return count;
 	}
 
 	private int endedAfter(long time) {
 		int count = 0;
-		for (int i = 0; i < ENDED_KEPT; i++) {
+		for (int i = 0; i < MAX_ENDED_ATTEMPTS; i++) {
 			count += (this.endedAt[i] > time && this.endedSentAt[i] <= time) ? 1 : 0;
 		}
 		return count;
 	}
 
-	void started(Run run) {
-		this.runs.add(run);
-		this.estimate++;
-		this.tickets--;
-		this.pendingPrompt += run.pending.info.promptTokens();
-		this.lastUse = run.id;
-		this.retries.earn();
+	void attemptStarted(ActiveAttempt attempt) {
+		this.attempts.add(attempt);
+		this.estimatedLoad++;
+		this.allocatedSlots--;
+		this.pendingPromptTokens += attempt.pending.info.promptTokens();
+		this.lastAttemptId = attempt.id;
+		this.retryBudget.deposit();
 	}
 
 	// Return a number that grows with each use of any endpoint.
-	long lastUse() {
-		return this.lastUse;
+	long lastAttemptId() {
+		return this.lastAttemptId;
 	}
 
-	void finished(Run run, long now) {
-		this.runs.remove(run);
-		this.estimate--;
-		this.tickets++;
-		this.pendingPrompt -= (run.tokens == 0) ? run.pending.info.promptTokens() : 0;
-		this.endedSentAt[this.endedNext] = run.sentAt;
+	void attemptEnded(ActiveAttempt attempt, long now) {
+		this.attempts.remove(attempt);
+		this.estimatedLoad--;
+		this.allocatedSlots++;
+		this.pendingPromptTokens -= (attempt.tokens == 0) ? attempt.pending.info.promptTokens() : 0;
+		this.endedSentAt[this.endedNext] = attempt.sentAt;
 		this.endedAt[this.endedNext] = now;
-		this.endedNext = (this.endedNext + 1) % ENDED_KEPT;
+		this.endedNext = (this.endedNext + 1) % MAX_ENDED_ATTEMPTS;
 	}
 
 	// Return the requests at the endpoint, of all VMs. Without a trusted report each VM
 	// assumes that the others hold as much as it does itself, which leaves it its own
 	// part of the slots.
-	int occupancy(Tuning tuning, int entryCount, long now) {
-		int own = this.runs.size();
-		if (!hasFreshReport(tuning.staleNanos(), now)) {
+	int occupancy(PolicySettings settings, int entryCount, long now) {
+		int own = this.attempts.size();
+		if (!hasFreshReport(settings.staleNanos(), now)) {
 			return own * entryCount;
 		}
-		return Math.max(own, this.estimate);
+		return Math.max(own, this.estimatedLoad);
 	}
 
 	// Return whether one more request has room. What many VMs see free at the same time
@@ -172,21 +172,21 @@
 	// and may use again what its own requests gave back. Without the lot all VMs with
 	// something waiting send it to the one free slot, and the losers wait inside the
 	// engine, past their target and where no order of ours reaches them.
-	boolean hasRoom(Tuning tuning, int entryCount, long now) {
-		int room = usableSlots() - occupancy(tuning, entryCount, now);
-		if (room <= 0) {
+	boolean hasCapacity(PolicySettings settings, int entryCount, long now) {
+		int freeSlots = usableSlots() - occupancy(settings, entryCount, now);
+		if (freeSlots <= 0) {
 			return false;
 		}
-		boolean plenty = room > this.endpoint.slots() * tuning.scarce();
-		return plenty || this.tickets > 0 || !hasFreshReport(tuning.staleNanos(), now);
+		boolean plenty = freeSlots > this.definition.slots() * settings.scarce();
+		return plenty || this.allocatedSlots > 0 || !hasFreshReport(settings.staleNanos(), now);
 	}
 
-	void firstToken(Run run) {
-		this.pendingPrompt -= run.pending.info.promptTokens();
+	void firstTokenReceived(ActiveAttempt attempt) {
+		this.pendingPromptTokens -= attempt.pending.info.promptTokens();
 	}
 
-	int pendingPrompt() {
-		return this.pendingPrompt;
+	int pendingPromptTokens() {
+		return this.pendingPromptTokens;
 	}
 
 	boolean hasFreshReport(long staleNanos, long now) {
@@ -195,32 +195,32 @@
 
 	// Return the slots to use: a straggler gets less, but never nothing.
 	int usableSlots() {
-		if (this.slowness <= 1) {
-			return this.endpoint.slots();
+		if (this.slowdown <= 1) {
+			return this.definition.slots();
 		}
-		return Math.max(1, (int) (this.endpoint.slots() / this.slowness));
+		return Math.max(1, (int) (this.definition.slots() / this.slowdown));
 	}
 
 	boolean isInService() {
-		return this.status.acceptsWork() && !this.endpoint.drained();
+		return this.status.acceptsWork() && !this.definition.drained();
 	}
 
-	boolean acceptsWork(long now) {
+	boolean acceptsRequests(long now) {
 		if (!isInService() || now < this.pausedUntil || now < this.fullUntil) {
 			return false;
 		}
-		return this.failures < FAILURES_FOR_PAUSE || this.runs.isEmpty();
+		return this.failures < FAILURES_FOR_PAUSE || this.attempts.isEmpty();
 	}
 
 	boolean isHealthy() {
 		return isInService() && this.failures < FAILURES_FOR_PAUSE;
 	}
 
-	void refusedWork(long now) {
+	void attemptRefused(long now) {
 		this.fullUntil = now + SHORT_PAUSE_NANOS;
 	}
 
-	void succeeded() {
+	void attemptSucceeded() {
 		this.failures = 0;
 		this.pausedUntil = Long.MIN_VALUE;
 	}
@@ -228,7 +228,7 @@
 	// Note a failure. A crash or a refused connection is certain and pauses the endpoint
 	// at once; a single lost stream may be the fault of the path, so that it takes
 	// several. The pause doubles up to half a minute and ends with a single probe.
-	void failed(AttemptOutcome outcome, long now, double jitter) {
+	void attemptFailed(AttemptOutcome outcome, long now, double jitter) {
 		boolean certain = outcome == AttemptOutcome.CRASHED || outcome == AttemptOutcome.NOT_SENT;
 		if (now < this.pausedUntil) {
 			return;
@@ -239,16 +239,16 @@
 			return;
 		}
 		int shift = Math.min(MAX_PAUSE_SHIFT, this.failures - FAILURES_FOR_PAUSE);
-		this.pausedUntil = now + (long) ((FIRST_PAUSE_NANOS << shift) * jitter);
+		this.pausedUntil = now + (long) ((INITIAL_PAUSE_NANOS << shift) * jitter);
 	}
 
-	void prefix(long hash, boolean held) {
+	void updatePrefix(long hash, boolean held) {
 		this.prefixes.remove(hash);
 		if (!held) {
 			return;
 		}
 		this.prefixes.add(hash);
-		if (this.prefixes.size() > PREFIXES_KEPT) {
+		if (this.prefixes.size() > MAX_PREFIXES) {
 			Iterator<Long> oldest = this.prefixes.iterator();
 			oldest.next();
 			oldest.remove();
--- a/core/src/main/java/org/acaciacourse/core/dispatch/SlotDealer.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/FreeSlotAllocator.java
@@ -8,27 +8,27 @@
  * <p>
  * Not thread safe: owned by one dispatcher.
  */
-final class SlotDealer {
+final class FreeSlotAllocator {
 
-	private static final long TURN_STEP = 7_919;
+	private static final long ROTATION_STEP = 7_919;
 
 	private final DispatchState state;
 
-	SlotDealer(DispatchState state) {
+	FreeSlotAllocator(DispatchState state) {
 		this.state = state;
 	}
 
 	// Return this VM's part of the free slots that a report tells of.
-	int deal(int room, String endpoint, long sequence) {
-		if (room <= 0) {
+	int allocate(int freeSlots, String endpoint, long sequence) {
+		if (freeSlots <= 0) {
 			return 0;
 		}
 		int count = this.state.entryCount;
 		if (this.state.entryIndex < 0) {
-			return (int) (room / (double) count + this.state.random.nextDouble());
+			return (int) (freeSlots / (double) count + this.state.random.nextDouble());
 		}
-		long turn = Math.floorMod(this.state.entryIndex + sequence * TURN_STEP + endpoint.hashCode(), (long) count);
-		return room / count + ((turn < room % count) ? 1 : 0);
+		long turn = Math.floorMod(this.state.entryIndex + sequence * ROTATION_STEP + endpoint.hashCode(), (long) count);
+		return freeSlots / count + ((turn < freeSlots % count) ? 1 : 0);
 	}
 
 }
--- /dev/null
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/OutcomeHandler.java
@@ -0,0 +1,197 @@
+package org.acaciacourse.core.dispatch;
+
+import java.util.List;
+
+import org.acaciacourse.core.code.ResultCode;
+import org.acaciacourse.core.dispatch.suspect.SuspectTable;
+
+/**
+ * Decides what follows the end of an attempt: the final answer, a retry elsewhere, or a
+ * place in the line for a request that was set aside.
+ * <p>
+ * Invariants: a request that may not be repeated is tried again only if no byte of it
+ * reached an endpoint or the endpoint says that it did not run it; a retry goes to
+ * another endpoint, within the budgets of class and endpoint, with jitter and inside the
+ * deadline; content is convicted only by a crash while it ran apart.
+ * <p>
+ * Not thread safe: owned by one dispatcher.
+ */
+final class OutcomeHandler {
+
+	private static final long BACKOFF_NANOS = 10_000_000L;
+
+	private static final int MAX_BACKOFF_SHIFT = 6;
+
+	private static final int SURVIVAL_TOKENS = 8;
+
+	private final DispatchState state;
+
+	OutcomeHandler(DispatchState state) {
+		this.state = state;
+	}
+
+	// Follow up the end of a run that is already off its endpoint.
+	void attemptEnded(ActiveAttempt attempt, AttemptOutcome outcome, long now) {
+		PendingRequest pending = attempt.pending;
+		pending.attempt = null;
+		updateEndpoint(attempt, outcome, now);
+		if (outcome == AttemptOutcome.CRASHED) {
+			recordCrash(attempt, now);
+		}
+		if (pending.isDone()) {
+			return;
+		}
+		switch (outcome) {
+			case COMPLETE -> complete(attempt, now);
+			case REJECTED -> this.state.finish(pending, ResultCode.ENDPOINT_ERROR, 0);
+			case CANCELLED -> requeue(pending, now);
+			default -> retry(attempt, outcome, now);
+		}
+	}
+
+	private void updateEndpoint(ActiveAttempt attempt, AttemptOutcome outcome, long now) {
+		if (outcome == AttemptOutcome.COMPLETE || outcome == AttemptOutcome.REJECTED) {
+			attempt.endpoint.attemptSucceeded();
+		}
+		else if (outcome == AttemptOutcome.REFUSED) {
+			attempt.endpoint.attemptRefused(now);
+		}
+		else if (outcome.isEndpointFailure()) {
+			attempt.endpoint.attemptFailed(outcome, now, this.state.jitter());
+		}
+	}
+
+	private void complete(ActiveAttempt attempt, long now) {
+		PendingRequest pending = attempt.pending;
+		pending.endpointSet.recordAnswerLength(pending);
+		pending.endpointSet.recordDuration(attempt, now);
+		this.state.close(pending);
+		long content = pending.info.contentHash();
+		int crashes = this.state.suspects.crashes(content, now);
+		if (pending.isolated && crashes > 0 && crashes < SuspectTable.CONVICTION) {
+			clearSuspicion(pending, now);
+		}
+	}
+
+	// Clear a suspect that got past the point where the endpoint had crashed. The next
+	// one need not wait for the end of a long answer. A second crash while this request
+	// runs convicts it all the same.
+	void clearIfSurvived(ActiveAttempt attempt, long now) {
+		if (attempt.isolated && attempt.tokens >= SURVIVAL_TOKENS && attempt.pending.isolated) {
+			clearSuspicion(attempt.pending, now);
+			releaseIsolationEndpoint(attempt.pending);
+		}
+	}
+
+	// Make room for the next trial: the acquitted one goes on at another endpoint.
+	private void releaseIsolationEndpoint(PendingRequest pending) {
+		if (mayRepeat(pending) && pending.endpointSet.endpoints.size() > 1) {
+			this.state.cancelAttempt(pending);
+		}
+	}
+
+	private void clearSuspicion(PendingRequest pending, long now) {
+		pending.isolated = false;
+		this.state.suspects.record(pending.info.contentHash(), 0, true, now);
+		this.state.actions.publishSuspect(pending.info.contentHash(), 0);
+	}
+
+	// Take the same content off other endpoints before it crashes them too.
+	void cancelSameContent(long content, long now) {
+		for (PendingRequest pending : List.copyOf(this.state.requests.values())) {
+			boolean sameContent = pending.info.contentHash() == content && pending.attempt != null
+					&& !pending.attempt.isolated;
+			if (sameContent && mayRepeat(pending)) {
+				pending.isolated = true;
+				this.state.cancelAttempt(pending);
+			}
+		}
+	}
+
+	// Note what ran on an endpoint when it crashed. A run beside others proves nothing
+	// and makes it suspect; a run apart convicts.
+	private void recordCrash(ActiveAttempt attempt, long now) {
+		long content = attempt.pending.info.contentHash();
+		attempt.pending.crashCount++;
+		boolean proven = attempt.isolated || attempt.pending.crashCount >= SuspectTable.CONVICTION;
+		int crashes = (proven) ? SuspectTable.CONVICTION : 1;
+		if (this.state.suspects.crashes(content, now) >= crashes) {
+			return;
+		}
+		this.state.suspects.record(content, crashes, true, now);
+		this.state.actions.publishSuspect(content, crashes);
+		cancelSameContent(content, now);
+	}
+
+	private void retry(ActiveAttempt attempt, AttemptOutcome outcome, long now) {
+		PendingRequest pending = attempt.pending;
+		boolean notRun = outcome == AttemptOutcome.NOT_SENT || outcome == AttemptOutcome.REFUSED;
+		if (this.state.suspects.crashes(pending.info.contentHash(), now) >= SuspectTable.CONVICTION) {
+			this.state.finish(pending, ResultCode.CRASHING_CONTENT, 0);
+		}
+		else if (!notRun && !mayRepeat(pending)) {
+			this.state.finish(pending, finalCode(pending, outcome), 0);
+		}
+		else if (!notRun && pending.endpointSet.endpoints.size() == 1) {
+			// There is no other endpoint: the caller gets its answer now, not at its
+			// deadline.
+			this.state.finish(pending, ResultCode.RETRIES_EXHAUSTED, BACKOFF_NANOS << MAX_BACKOFF_SHIFT);
+		}
+		else if (++pending.failureCount >= pending.queue.settings.maxAttempts() || !withdrawRetry(attempt)) {
+			this.state.finish(pending, ResultCode.RETRIES_EXHAUSTED, BACKOFF_NANOS << MAX_BACKOFF_SHIFT);
+		}
+		else {
+			requeueForRetry(attempt, now);
+		}
+	}
+
+	private boolean mayRepeat(PendingRequest pending) {
+		return !pending.info.notRepeated() && (pending.deliveredTokens == 0 || pending.endpointSet.canResume());
+	}
+
+	private static ResultCode finalCode(PendingRequest pending, AttemptOutcome outcome) {
+		if (pending.deliveredTokens > 0) {
+			return ResultCode.ANSWER_TRUNCATED;
+		}
+		return (outcome == AttemptOutcome.SILENT) ? ResultCode.ENDPOINT_TIMEOUT : ResultCode.ENDPOINT_LOST;
+	}
+
+	private boolean withdrawRetry(ActiveAttempt attempt) {
+		var classBudget = this.state.retryBudget(attempt.pending.info.requestClass());
+		if (!classBudget.canWithdraw() || !attempt.endpoint.retryBudget.canWithdraw()) {
+			return false;
+		}
+		classBudget.withdraw();
+		attempt.endpoint.retryBudget.withdraw();
+		return true;
+	}
+
+	private void requeueForRetry(ActiveAttempt attempt, long now) {
+		PendingRequest pending = attempt.pending;
+		pending.triedEndpoints.add(attempt.endpoint);
+		if (pending.triedEndpoints.size() >= pending.endpointSet.endpoints.size()) {
+			pending.triedEndpoints.clear();
+			if (pending.endpointSet.endpoints.size() > 1) {
+				pending.triedEndpoints.add(attempt.endpoint);
+			}
+		}
+		int shift = Math.min(MAX_BACKOFF_SHIFT, pending.failureCount - 1);
+		pending.notBefore = now + (long) ((BACKOFF_NANOS << shift) * this.state.jitter());
+		if (pending.notBefore >= pending.deadlineAt) {
+			this.state.finish(pending, ResultCode.DEADLINE_EXCEEDED, 0);
+			return;
+		}
+		pending.isolated = this.state.suspects.crashes(pending.info.contentHash(), now) > 0;
+		if (pending.isolated) {
+			long allowedAt = this.state.suspects.isolatedAttemptAllowedAt(pending.info.contentHash(), 0, now);
+			pending.notBefore = Math.max(pending.notBefore, allowedAt);
+		}
+		pending.queue.add(pending);
+	}
+
+	// Put a request back that was set aside for a higher tier.
+	private void requeue(PendingRequest pending, long now) {
+		pending.queue.add(pending);
+	}
+
+}
--- a/core/src/main/java/org/acaciacourse/core/dispatch/BeyondWindow.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/OvercommitWindow.java
@@ -8,23 +8,23 @@
  * increase, multiplicative decrease, Chiu and Jain 1989). Below one, a single request
  * tries it again after a pause.
  * <p>
- * Invariant: the window is between {@link #LEAST} and {@link #MOST}.
+ * Invariant: the window is between {@link #MIN_WINDOW} and {@link #MAX_WINDOW}.
  * <p>
  * Not thread safe: owned by one dispatcher.
  */
-final class BeyondWindow {
+final class OvercommitWindow {
 
-	private static final double LEAST = 0.0625;
+	private static final double MIN_WINDOW = 0.0625;
 
-	private static final double MOST = 32;
+	private static final double MAX_WINDOW = 32;
 
-	private static final double START = 4;
+	private static final double INITIAL_WINDOW = 4;
 
-	private static final double SOON = 0.3;
+	private static final double MAX_START_WAIT_SHARE = 0.3;
 
 	private static final long PAUSE_NANOS = 150_000_000L;
 
-	private double window = START;
+	private double window = INITIAL_WINDOW;
 
 	private int outstanding;
 
@@ -33,12 +33,12 @@
 	private long pausedUntil = Long.MIN_VALUE;
 
 	// Return whether one more may be sent, of what this VM expects to find as lower work.
-	boolean permits(double lowerSlots, long now) {
-		double most = Math.min(this.window, lowerSlots);
-		if (most >= 1) {
-			return this.outstanding < (int) most;
+	boolean permits(double lowerTierSlots, long now) {
+		double effectiveWindow = Math.min(this.window, lowerTierSlots);
+		if (effectiveWindow >= 1) {
+			return this.outstanding < (int) effectiveWindow;
 		}
-		boolean paused = now < this.pausedUntil || (now - this.sentAt) * most < PAUSE_NANOS;
+		boolean paused = now < this.pausedUntil || (now - this.sentAt) * effectiveWindow < PAUSE_NANOS;
 		return this.outstanding == 0 && !paused;
 	}
 
@@ -50,12 +50,12 @@
 	// Note that a request beyond the slots began to answer, or ended without.
 	void started(long waitedNanos, long targetNanos, long now) {
 		this.outstanding--;
-		if (waitedNanos <= SOON * targetNanos) {
-			this.window = Math.min(MOST, this.window + 1 / Math.max(1, this.window));
+		if (waitedNanos <= MAX_START_WAIT_SHARE * targetNanos) {
+			this.window = Math.min(MAX_WINDOW, this.window + 1 / Math.max(1, this.window));
 			return;
 		}
 		if (now >= this.pausedUntil) {
-			this.window = Math.max(LEAST, this.window / 2);
+			this.window = Math.max(MIN_WINDOW, this.window / 2);
 			this.pausedUntil = now + (long) (PAUSE_NANOS / Math.min(1, this.window));
 		}
 	}
--- a/core/src/main/java/org/acaciacourse/core/dispatch/PendingRequest.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/PendingRequest.java
@@ -21,7 +21,7 @@
 
 	final RequestClass requestClass;
 
-	final ServingSet set;
+	final EndpointSetState endpointSet;
 
 	final CustomerLimit limit;
 
@@ -35,17 +35,17 @@
 
 	final long deadlineAt;
 
-	final List<EndpointView> tried = new ArrayList<>(0);
+	final List<EndpointView> triedEndpoints = new ArrayList<>(0);
 
 	State state = State.WAITING;
 
-	WaitingLine line;
+	PolicyQueue queue;
 
-	Run run;
+	ActiveAttempt attempt;
 
-	int attempts;
+	int attemptCount;
 
-	int delivered;
+	int deliveredTokens;
 
 	/** When this request has to be looked at again: it is late or out of time. */
 	long dueAt;
@@ -54,19 +54,19 @@
 	long notBefore;
 
 	/** Whether it is to run apart from others because it may crash the endpoint. */
-	boolean apart;
+	boolean isolated;
 
 	/** How many attempts failed; one that was set aside did not. */
-	int failures;
+	int failureCount;
 
 	/** How many endpoints crashed while they ran it. */
-	int crashes;
+	int crashCount;
 
-	PendingRequest(RequestInfo info, RequestClass requestClass, ServingSet set, CustomerLimit limit, int weight,
-			long now) {
+	PendingRequest(RequestInfo info, RequestClass requestClass, EndpointSetState endpointSet, CustomerLimit limit,
+			int weight, long now) {
 		this.info = info;
 		this.requestClass = requestClass;
-		this.set = set;
+		this.endpointSet = endpointSet;
 		this.limit = limit;
 		this.weight = weight;
 		this.arrivedAt = now;
@@ -84,13 +84,13 @@
 	}
 
 	// Whether the request may still be refused because its target is out of reach.
-	boolean isUntouched() {
-		return this.attempts == 0;
+	boolean isUndispatched() {
+		return this.attemptCount == 0;
 	}
 
 	// Whether only some endpoints will do, so that it must not block the others.
-	boolean isPicky() {
-		return this.apart || !this.tried.isEmpty() || this.notBefore > 0;
+	boolean isConstrained() {
+		return this.isolated || !this.triedEndpoints.isEmpty() || this.notBefore > 0;
 	}
 
 	/** Where a request is on its way. */
--- a/core/src/main/java/org/acaciacourse/core/dispatch/PolicyBehaviour.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/PolicyBehaviour.java
@@ -15,8 +15,8 @@
 	FIFO {
 
 		@Override
-		double cost(EndpointView endpoint, PendingRequest pending, Tuning tuning, int entryCount, long now) {
-			return endpoint.lastUse();
+		double cost(EndpointView endpoint, PendingRequest pending, PolicySettings settings, int entryCount, long now) {
+			return endpoint.lastAttemptId();
 		}
 
 	},
@@ -25,8 +25,8 @@
 	LEAST_IN_FLIGHT {
 
 		@Override
-		double cost(EndpointView endpoint, PendingRequest pending, Tuning tuning, int entryCount, long now) {
-			return endpoint.runs.size();
+		double cost(EndpointView endpoint, PendingRequest pending, PolicySettings settings, int entryCount, long now) {
+			return endpoint.attempts.size();
 		}
 
 	},
@@ -50,30 +50,30 @@
 		}
 
 		@Override
-		int load(EndpointView endpoint, Tuning tuning, int entryCount, long now) {
-			return endpoint.occupancy(tuning, entryCount, now);
+		int load(EndpointView endpoint, PolicySettings settings, int entryCount, long now) {
+			return endpoint.occupancy(settings, entryCount, now);
 		}
 
 		@Override
-		boolean hasRoom(EndpointView endpoint, Tuning tuning, int entryCount, long now) {
-			return endpoint.hasRoom(tuning, entryCount, now);
+		boolean hasCapacity(EndpointView endpoint, PolicySettings settings, int entryCount, long now) {
+			return endpoint.hasCapacity(settings, entryCount, now);
 		}
 
 		@Override
-		double cost(EndpointView endpoint, PendingRequest pending, Tuning tuning, int entryCount, long now) {
-			double load = load(endpoint, tuning, entryCount, now) + 1.0;
-			load += endpoint.pendingPrompt() / PROMPT_TOKENS_PER_SLOT;
-			double bonus = endpoint.holdsPrefix(pending.info.prefixHash()) ? tuning.prefixBonus() : 0;
-			return (load - bonus) * endpoint.slowness / endpoint.endpoint.slots();
+		double cost(EndpointView endpoint, PendingRequest pending, PolicySettings settings, int entryCount, long now) {
+			double load = load(endpoint, settings, entryCount, now) + 1.0;
+			load += endpoint.pendingPromptTokens() / PROMPT_TOKENS_PER_SLOT;
+			double bonus = endpoint.holdsPrefix(pending.info.prefixHash()) ? settings.prefixBonus() : 0;
+			return (load - bonus) * endpoint.slowdown / endpoint.definition.slots();
 		}
 
 		@Override
-		int choices(Tuning tuning) {
-			return tuning.choices();
+		int choices(PolicySettings settings) {
+			return settings.choices();
 		}
 
 		@Override
-		boolean heedsTargets() {
+		boolean enforcesTargets() {
 			return true;
 		}
 
@@ -104,25 +104,26 @@
 	}
 
 	// Return the load that an endpoint is judged by.
-	int load(EndpointView endpoint, Tuning tuning, int entryCount, long now) {
-		return endpoint.runs.size();
+	int load(EndpointView endpoint, PolicySettings settings, int entryCount, long now) {
+		return endpoint.attempts.size();
 	}
 
-	boolean hasRoom(EndpointView endpoint, Tuning tuning, int entryCount, long now) {
-		return endpoint.runs.size() < endpoint.endpoint.slots();
+	boolean hasCapacity(EndpointView endpoint, PolicySettings settings, int entryCount, long now) {
+		return endpoint.attempts.size() < endpoint.definition.slots();
 	}
 
 	// Return how bad an endpoint with room is for a request; the lowest one is taken.
-	abstract double cost(EndpointView endpoint, PendingRequest pending, Tuning tuning, int entryCount, long now);
+	abstract double cost(EndpointView endpoint, PendingRequest pending, PolicySettings settings, int entryCount,
+			long now);
 
 	// Return how many endpoints with room are compared.
-	int choices(Tuning tuning) {
+	int choices(PolicySettings settings) {
 		return Integer.MAX_VALUE;
 	}
 
 	// Return whether targets, tiers and shares count: refusal of what comes too late,
 	// preemption and the guaranteed share.
-	boolean heedsTargets() {
+	boolean enforcesTargets() {
 		return false;
 	}
 
--- a/core/src/main/java/org/acaciacourse/core/dispatch/PolicyDispatcher.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/PolicyDispatcher.java
@@ -17,8 +17,8 @@
 
 /**
  * The decisions of one entry VM under the policies of the manifest. The steps are in
- * classes of their own: {@link Admission}, {@link WaitingLine}, {@link Chooser},
- * {@link Pump} and {@link Recovery}.
+ * classes of their own: {@link Admission}, {@link PolicyQueue}, {@link EndpointSelector},
+ * {@link Scheduler} and {@link OutcomeHandler}.
  * <p>
  * Invariants: each request gets exactly one final answer; a change of policy applies to
  * all that waits at once and touches nothing that runs.
@@ -27,25 +27,25 @@
  */
 public final class PolicyDispatcher implements Dispatcher {
 
-	private static final long WAKE_NANOS = 25_000_000L;
+	private static final long CHECK_INTERVAL_NANOS = 25_000_000L;
 
-	private static final long COMPARE_NANOS = 250_000_000L;
+	private static final long REVIEW_INTERVAL_NANOS = 250_000_000L;
 
-	private static final long SUSPECT_HOLD_NANOS = 15_000_000_000L;
+	private static final long REMOTE_SUSPECT_DELAY_NANOS = 15_000_000_000L;
 
-	private static final long RATE_WAIT_NANOS = 1_000_000_000L;
+	private static final long MIN_RATE_WAIT_NANOS = 1_000_000_000L;
 
 	private final DispatchState state;
 
 	private final Admission admission;
 
-	private final Pump pump;
+	private final Scheduler scheduler;
 
-	private final Recovery recovery;
+	private final OutcomeHandler outcomeHandler;
 
 	private long wakeAt = Long.MAX_VALUE;
 
-	private long comparedAt = Long.MIN_VALUE;
+	private long reviewedAt = Long.MIN_VALUE;
 
 	/**
 	 * Create a dispatcher that knows no manifest yet and refuses all.
@@ -55,8 +55,8 @@
 	public PolicyDispatcher(DispatchActions actions, long seed) {
 		this.state = new DispatchState(actions, seed);
 		this.admission = new Admission(this.state);
-		this.pump = new Pump(this.state);
-		this.recovery = new Recovery(this.state);
+		this.scheduler = new Scheduler(this.state);
+		this.outcomeHandler = new OutcomeHandler(this.state);
 	}
 
 	@Override
@@ -89,8 +89,8 @@
 		this.state.sets.values().forEach((set) -> set.endpoints.clear());
 		manifest.endpoints().keySet().stream().sorted().map(manifest.endpoints()::get).forEach(this::configureEndpoint);
 		this.state.endpoints.keySet().retainAll(manifest.endpoints().keySet());
-		this.state.sets.values().forEach((set) -> configureLines(set, manifest));
-		pumpAll(now);
+		this.state.sets.values().forEach((set) -> rebuildQueues(set, manifest));
+		dispatchAllWaiting(now);
 	}
 
 	private void configureLimit(Customer customer) {
@@ -99,46 +99,47 @@
 	}
 
 	private void configureSet(EndpointSet declared) {
-		this.state.sets.computeIfAbsent(declared.name(), (name) -> new ServingSet(declared)).declared = declared;
+		this.state.sets.computeIfAbsent(declared.name(),
+				(name) -> new EndpointSetState(declared)).definition = declared;
 	}
 
 	private void configureEndpoint(Endpoint endpoint) {
 		EndpointView view = this.state.endpoints.computeIfAbsent(endpoint.name(), (name) -> new EndpointView(endpoint));
-		view.endpoint = endpoint;
+		view.definition = endpoint;
 		this.state.sets.get(endpoint.set()).endpoints.add(view);
 	}
 
 	// Make the lines anew and move all that waits, in order of arrival.
-	private void configureLines(ServingSet set, Manifest manifest) {
+	private void rebuildQueues(EndpointSetState set, Manifest manifest) {
 		List<PendingRequest> waiting = new ArrayList<>();
-		set.lines.values().forEach((line) -> line.forEach(waiting::add));
-		set.lines.clear();
-		set.lines.put(manifest.policyInForce().policy(), line(manifest, manifest.policyInForce().policy()));
-		manifest.policyInForce().split().ifPresent((name) -> set.lines.put(name, line(manifest, name)));
+		set.queues.values().forEach((queue) -> queue.forEach(waiting::add));
+		set.queues.clear();
+		set.queues.put(manifest.policyInForce().policy(), createQueue(manifest, manifest.policyInForce().policy()));
+		manifest.policyInForce().split().ifPresent((name) -> set.queues.put(name, createQueue(manifest, name)));
 		waiting.sort((a, b) -> Long.compare(a.info.id(), b.info.id()));
-		waiting.forEach((pending) -> lineOf(pending).add(pending));
+		waiting.forEach((pending) -> queueOf(pending).add(pending));
 		this.state.requests.values()
 			.stream()
-			.filter((pending) -> pending.set == set && pending.run != null)
-			.forEach((pending) -> pending.line = lineOf(pending));
+			.filter((pending) -> pending.endpointSet == set && pending.attempt != null)
+			.forEach((pending) -> pending.queue = queueOf(pending));
 	}
 
-	private static WaitingLine line(Manifest manifest, String name) {
+	private static PolicyQueue createQueue(Manifest manifest, String name) {
 		Policy policy = manifest.policies().get(name);
-		return new WaitingLine(name, PolicyBehaviour.of(policy.kind()), Tuning.of(policy));
+		return new PolicyQueue(name, PolicyBehaviour.of(policy.kind()), PolicySettings.of(policy));
 	}
 
-	private WaitingLine lineOf(PendingRequest pending) {
+	private PolicyQueue queueOf(PendingRequest pending) {
 		String policy = this.state.manifest.policyInForce().choose(pending.info.contentHash());
-		return pending.set.lines.get(policy);
+		return pending.endpointSet.queues.get(policy);
 	}
 
 	@Override
 	public void endpointStatus(String endpoint, EndpointStatus status, long now) {
 		EndpointView view = this.state.endpoints.get(endpoint);
 		if (view != null) {
-			view.status(status);
-			pumpAll(now);
+			view.updateStatus(status);
+			dispatchAllWaiting(now);
 		}
 	}
 
@@ -146,8 +147,8 @@
 	public void loadReport(String endpoint, LoadReport report, long now) {
 		EndpointView view = this.state.endpoints.get(endpoint);
 		if (view != null) {
-			view.report(report, this.state.dealer, now);
-			pump(this.state.sets.get(view.endpoint.set()), now);
+			view.applyReport(report, this.state.slotAllocator, now);
+			dispatchWaiting(this.state.sets.get(view.definition.set()), now);
 		}
 	}
 
@@ -155,20 +156,20 @@
 	public void prefixEvent(String endpoint, long prefixHash, boolean held, long now) {
 		EndpointView view = this.state.endpoints.get(endpoint);
 		if (view != null) {
-			view.prefix(prefixHash, held);
+			view.updatePrefix(prefixHash, held);
 		}
 	}
 
 	@Override
 	public void arrive(RequestInfo request, long now) {
-		Optional<ResultCode> refusal = checkKnown(request);
+		Optional<ResultCode> refusal = validate(request);
 		if (refusal.isPresent()) {
-			refuse(request, refusal.get(), RATE_WAIT_NANOS);
+			refuse(request, refusal.get(), MIN_RATE_WAIT_NANOS);
 			return;
 		}
 		CustomerLimit limit = this.state.limits.get(request.customer());
 		if (!limit.tryAcquire(now)) {
-			refuse(request, ResultCode.CUSTOMER_LIMIT, Math.max(RATE_WAIT_NANOS, limit.nanosToNext()));
+			refuse(request, ResultCode.CUSTOMER_LIMIT, Math.max(MIN_RATE_WAIT_NANOS, limit.nanosToNext()));
 			return;
 		}
 		Manifest manifest = this.state.manifest;
@@ -176,25 +177,25 @@
 		int weight = manifest.customers().get(request.customer()).weight();
 		PendingRequest pending = new PendingRequest(request, requestClass, this.state.sets.get(request.endpointSet()),
 				limit, weight, now);
-		WaitingLine line = lineOf(pending);
-		Optional<Admission.Refusal> refused = this.admission.check(pending, line, now);
+		PolicyQueue queue = queueOf(pending);
+		Optional<Admission.Refusal> refused = this.admission.check(pending, queue, now);
 		if (refused.isPresent()) {
 			limit.release();
-			noteRefusal(pending, line, refused.get().code(), now);
+			handleCapacityRefusal(pending, queue, refused.get().code(), now);
 			refuse(request, refused.get().code(), refused.get().waitNanos());
 			return;
 		}
-		admit(pending, line, now);
+		admit(pending, queue, now);
 	}
 
-	private void noteRefusal(PendingRequest pending, WaitingLine line, ResultCode code, long now) {
+	private void handleCapacityRefusal(PendingRequest pending, PolicyQueue queue, ResultCode code, long now) {
 		boolean forCapacity = code == ResultCode.TARGET_UNREACHABLE || code == ResultCode.QUEUE_FULL;
-		if (forCapacity && line.behaviour.heedsTargets()) {
-			this.state.holdPlace(pending, line, now);
+		if (forCapacity && queue.behaviour.enforcesTargets()) {
+			this.state.blockLowerLanes(pending, queue, now);
 		}
 	}
 
-	private Optional<ResultCode> checkKnown(RequestInfo request) {
+	private Optional<ResultCode> validate(RequestInfo request) {
 		Manifest manifest = this.state.manifest;
 		if (manifest == null) {
 			return Optional.of(ResultCode.NOT_READY);
@@ -218,17 +219,17 @@
 		this.state.actions.finish(request.id(), code, this.state.retryAfter(code, waitNanos));
 	}
 
-	private void admit(PendingRequest pending, WaitingLine line, long now) {
+	private void admit(PendingRequest pending, PolicyQueue queue, long now) {
 		long content = pending.info.contentHash();
 		if (this.state.suspects.crashes(content, now) > 0) {
-			pending.apart = true;
-			pending.notBefore = this.state.suspects.trialFrom(content, SUSPECT_HOLD_NANOS, now);
+			pending.isolated = true;
+			pending.notBefore = this.state.suspects.isolatedAttemptAllowedAt(content, REMOTE_SUSPECT_DELAY_NANOS, now);
 		}
 		this.state.requests.put(pending.info.id(), pending);
-		this.state.retries(pending.info.requestClass()).earn();
-		line.add(pending);
-		this.state.reschedule(pending, lateAt(pending));
-		pump(pending.set, now);
+		this.state.retryBudget(pending.info.requestClass()).deposit();
+		queue.add(pending);
+		this.state.reschedule(pending, targetUnreachableAt(pending));
+		dispatchWaiting(pending.endpointSet, now);
 	}
 
 	@Override
@@ -236,84 +237,86 @@
 		PendingRequest pending = this.state.requests.get(requestId);
 		if (pending != null) {
 			this.state.finish(pending, ResultCode.CALLER_GONE, 0);
-			pump(pending.set, now);
+			dispatchWaiting(pending.endpointSet, now);
 		}
 	}
 
 	@Override
 	public void tokens(long attemptId, int count, long now) {
-		Run run = this.state.runs.find(attemptId);
-		if (run == null || count <= 0) {
+		ActiveAttempt attempt = this.state.attempts.find(attemptId);
+		if (attempt == null || count <= 0) {
 			return;
 		}
-		PendingRequest pending = run.pending;
-		if (run.tokens == 0) {
-			run.endpoint.firstToken(run);
-			noteBeyond(run, now);
-			pending.set.learnFirstToken(pending, now - run.sentAt);
+		PendingRequest pending = attempt.pending;
+		if (attempt.tokens == 0) {
+			attempt.endpoint.firstTokenReceived(attempt);
+			recordOvercommitStart(attempt, now);
+			pending.endpointSet.recordFirstTokenTime(pending, now - attempt.sentAt);
 		}
 		else {
-			run.endpoint.tokenGap.learn((now - run.lastTokenAt) / (double) count);
+			attempt.endpoint.tokenGap.update((now - attempt.lastTokenAt) / (double) count);
 		}
-		run.lastTokenAt = now;
-		run.tokens += count;
-		if (pending.run == run) {
-			pending.delivered += count;
+		attempt.lastTokenAt = now;
+		attempt.tokens += count;
+		if (pending.attempt == attempt) {
+			pending.deliveredTokens += count;
 		}
-		this.recovery.survived(run, now);
-		pending.set.bookTokens(pending.requestClass.tier() == Tier.LOW, count, pending.line.tuning.lowestShare());
+		this.outcomeHandler.clearIfSurvived(attempt, now);
+		pending.endpointSet.accountTokens(pending.requestClass.tier() == Tier.LOW, count,
+				pending.queue.settings.lowestShare());
 	}
 
-	private static void noteBeyond(Run run, long now) {
-		if (run.beyond) {
-			PendingRequest pending = run.pending;
-			pending.set.beyond.started(now - run.sentAt, pending.targetAt - pending.arrivedAt, now);
+	private static void recordOvercommitStart(ActiveAttempt attempt, long now) {
+		if (attempt.overcommitted) {
+			PendingRequest pending = attempt.pending;
+			pending.endpointSet.overcommitWindow.started(now - attempt.sentAt, pending.targetAt - pending.arrivedAt,
+					now);
 		}
 	}
 
 	@Override
 	public void ended(long attemptId, AttemptOutcome outcome, long now) {
-		Run run = this.state.runs.find(attemptId);
-		if (run == null) {
+		ActiveAttempt attempt = this.state.attempts.find(attemptId);
+		if (attempt == null) {
 			return;
 		}
-		ServingSet set = run.pending.set;
-		this.state.runs.remove(run);
-		if (run.tokens == 0) {
-			noteBeyond(run, now);
+		EndpointSetState set = attempt.pending.endpointSet;
+		this.state.attempts.remove(attempt);
+		if (attempt.tokens == 0) {
+			recordOvercommitStart(attempt, now);
 		}
-		run.endpoint.finished(run, now);
-		set.running--;
-		set.guaranteed -= (run.guaranteed) ? 1 : 0;
-		this.recovery.ended(run, outcome, now);
-		pump(set, now);
+		attempt.endpoint.attemptEnded(attempt, now);
+		set.activeAttempts--;
+		set.guaranteedAttempts -= (attempt.guaranteed) ? 1 : 0;
+		this.outcomeHandler.attemptEnded(attempt, outcome, now);
+		dispatchWaiting(set, now);
 	}
 
 	@Override
 	public void suspect(long contentHash, int crashes, long now) {
-		this.state.suspects.note(contentHash, crashes, false, now);
+		this.state.suspects.record(contentHash, crashes, false, now);
 		if (crashes > 0) {
-			this.recovery.cancelTwins(contentHash, now);
+			this.outcomeHandler.cancelSameContent(contentHash, now);
 		}
 		for (PendingRequest pending : List.copyOf(this.state.requests.values())) {
 			if (pending.info.contentHash() == contentHash && pending.state == PendingRequest.State.WAITING) {
-				reconsider(pending, crashes, now);
+				applySuspicion(pending, crashes, now);
 			}
 		}
-		pumpAll(now);
+		dispatchAllWaiting(now);
 	}
 
 	// Apply news of a suspicion to a request that waits.
-	private void reconsider(PendingRequest pending, int crashes, long now) {
+	private void applySuspicion(PendingRequest pending, int crashes, long now) {
 		if (crashes >= SuspectTable.CONVICTION) {
 			this.state.finish(pending, ResultCode.CRASHING_CONTENT, 0);
 			return;
 		}
-		pending.line.remove(pending);
-		pending.apart = crashes > 0;
-		pending.notBefore = (pending.apart)
-				? this.state.suspects.trialFrom(pending.info.contentHash(), SUSPECT_HOLD_NANOS, now) : 0;
-		pending.line.add(pending);
+		pending.queue.remove(pending);
+		pending.isolated = crashes > 0;
+		pending.notBefore = (pending.isolated) ? this.state.suspects
+			.isolatedAttemptAllowedAt(pending.info.contentHash(), REMOTE_SUSPECT_DELAY_NANOS, now) : 0;
+		pending.queue.add(pending);
 	}
 
 	@Override
@@ -334,21 +337,21 @@
 		if (now >= this.wakeAt) {
 			this.wakeAt = Long.MAX_VALUE;
 		}
-		while (!this.state.due.isEmpty() && this.state.due.first().dueAt <= now) {
-			expire(this.state.due.first(), now);
+		while (!this.state.dueRequests.isEmpty() && this.state.dueRequests.first().dueAt <= now) {
+			expire(this.state.dueRequests.first(), now);
 		}
-		if (now - this.comparedAt >= COMPARE_NANOS || this.comparedAt == Long.MIN_VALUE) {
-			this.comparedAt = now;
+		if (now - this.reviewedAt >= REVIEW_INTERVAL_NANOS || this.reviewedAt == Long.MIN_VALUE) {
+			this.reviewedAt = now;
 			this.state.sets.values().forEach((set) -> review(set, now));
 		}
-		pumpAll(now);
+		dispatchAllWaiting(now);
 	}
 
-	private void review(ServingSet set, long now) {
-		WaitingLine line = set.lines.values().iterator().next();
-		set.compareSpeeds(line.tuning.stragglerFactor());
-		if (line.behaviour.heedsTargets()) {
-			this.pump.moveStalled(set, now);
+	private void review(EndpointSetState set, long now) {
+		PolicyQueue queue = set.queues.values().iterator().next();
+		set.updateSlowdowns(queue.settings.stragglerFactor());
+		if (queue.behaviour.enforcesTargets()) {
+			this.scheduler.moveStalledAttempts(set, now);
 		}
 	}
 
@@ -356,34 +359,34 @@
 		if (now >= pending.deadlineAt) {
 			this.state.finish(pending, ResultCode.DEADLINE_EXCEEDED, 0);
 		}
-		else if (pending.state == PendingRequest.State.WAITING && this.pump.isLate(pending, now)) {
-			this.state.refuseLate(pending, now);
+		else if (pending.state == PendingRequest.State.WAITING && this.scheduler.isTargetUnreachable(pending, now)) {
+			this.state.refuseUnreachable(pending, now);
 		}
 		else {
 			// Its time may be past while an endpoint is idle: without the pause it
 			// would be looked at each nanosecond, and the VM would do nothing else.
-			long next = Math.max(now + WAKE_NANOS, lateAt(pending));
+			long next = Math.max(now + CHECK_INTERVAL_NANOS, targetUnreachableAt(pending));
 			this.state.reschedule(pending, Math.min(next, pending.deadlineAt));
 		}
 	}
 
 	// Return when a waiting request cannot meet its target any more. What was learnt may
 	// have moved that time, so that it is worked out anew each time it is reached.
-	private static long lateAt(PendingRequest pending) {
-		boolean waits = pending.state == PendingRequest.State.WAITING && pending.isUntouched() && !pending.apart;
-		if (!waits || !pending.line.behaviour.heedsTargets()) {
+	private static long targetUnreachableAt(PendingRequest pending) {
+		boolean waits = pending.state == PendingRequest.State.WAITING && pending.isUndispatched() && !pending.isolated;
+		if (!waits || !pending.queue.behaviour.enforcesTargets()) {
 			return pending.deadlineAt;
 		}
-		return Math.min(pending.targetAt - pending.set.leastTime(pending) + 1, pending.deadlineAt);
+		return Math.min(pending.targetAt - pending.endpointSet.minServiceTime(pending) + 1, pending.deadlineAt);
 	}
 
-	private void pumpAll(long now) {
-		this.state.sets.values().forEach((set) -> this.pump.run(set, now));
+	private void dispatchAllWaiting(long now) {
+		this.state.sets.values().forEach((set) -> this.scheduler.dispatchWaiting(set, now));
 		scheduleWake(now);
 	}
 
-	private void pump(ServingSet set, long now) {
-		this.pump.run(set, now);
+	private void dispatchWaiting(EndpointSetState set, long now) {
+		this.scheduler.dispatchWaiting(set, now);
 		scheduleWake(now);
 	}
 
@@ -391,7 +394,7 @@
 		if (this.state.requests.isEmpty()) {
 			return;
 		}
-		long next = Math.max(now + 1, Math.min(this.state.due.first().dueAt, now + WAKE_NANOS));
+		long next = Math.max(now + 1, Math.min(this.state.dueRequests.first().dueAt, now + CHECK_INTERVAL_NANOS));
 		if (next < this.wakeAt) {
 			this.wakeAt = next;
 			this.state.actions.wakeAt(next);
--- a/core/src/main/java/org/acaciacourse/core/dispatch/WaitingLine.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/PolicyQueue.java
@@ -18,38 +18,38 @@
  * <p>
  * Not thread safe: owned by one dispatcher.
  */
-final class WaitingLine {
+final class PolicyQueue {
 
-	static final int LANES = Tier.values().length;
+	static final int LANE_COUNT = Tier.values().length;
 
 	final String policy;
 
 	final PolicyBehaviour behaviour;
 
-	final Tuning tuning;
+	final PolicySettings settings;
 
 	private final List<FairQueue<PendingRequest>> lanes = new ArrayList<>();
 
-	private final List<List<PendingRequest>> begun = new ArrayList<>();
+	private final List<List<PendingRequest>> requeued = new ArrayList<>();
 
 	private int size;
 
-	WaitingLine(String policy, PolicyBehaviour behaviour, Tuning tuning) {
+	PolicyQueue(String policy, PolicyBehaviour behaviour, PolicySettings settings) {
 		this.policy = policy;
 		this.behaviour = behaviour;
-		this.tuning = tuning;
-		for (int i = 0; i < LANES; i++) {
+		this.settings = settings;
+		for (int i = 0; i < LANE_COUNT; i++) {
 			this.lanes.add(new FairQueue<>());
-			this.begun.add(new ArrayList<>());
+			this.requeued.add(new ArrayList<>());
 		}
 	}
 
 	void add(PendingRequest pending) {
-		pending.line = this;
+		pending.queue = this;
 		pending.state = PendingRequest.State.WAITING;
 		int lane = lane(pending);
-		if (pending.isPicky() || !pending.isUntouched()) {
-			this.begun.get(lane).add(pending);
+		if (pending.isConstrained() || !pending.isUndispatched()) {
+			this.requeued.get(lane).add(pending);
 		}
 		else {
 			this.lanes.get(lane).add(this.behaviour.flow(pending), pending);
@@ -59,7 +59,7 @@
 
 	void remove(PendingRequest pending) {
 		int lane = lane(pending);
-		boolean removed = this.begun.get(lane).remove(pending)
+		boolean removed = this.requeued.get(lane).remove(pending)
 				|| this.lanes.get(lane).remove(this.behaviour.flow(pending), pending);
 		this.size -= (removed) ? 1 : 0;
 	}
@@ -67,7 +67,7 @@
 	// Take a request out because it goes to an endpoint.
 	void serve(PendingRequest pending, double expectedTokens) {
 		int lane = lane(pending);
-		if (!this.begun.get(lane).remove(pending)) {
+		if (!this.requeued.get(lane).remove(pending)) {
 			this.lanes.get(lane).serve(this.behaviour.flow(pending), pending, expectedTokens / pending.weight);
 		}
 		this.size--;
@@ -78,28 +78,28 @@
 	// overload a queue in order of arrival serves each request just too late, while this
 	// order keeps the time of those that can still make it.
 	Optional<PendingRequest> next(int lane, long now) {
-		FairQueue<PendingRequest> queue = this.lanes.get(lane);
-		Optional<PendingRequest> oldest = queue.oldest();
-		if (!this.behaviour.heedsTargets() || oldest.isEmpty()) {
+		FairQueue<PendingRequest> fairQueue = this.lanes.get(lane);
+		Optional<PendingRequest> oldest = fairQueue.oldest();
+		if (!this.behaviour.enforcesTargets() || oldest.isEmpty()) {
 			return oldest;
 		}
 		PendingRequest pending = oldest.get();
 		boolean overloaded = 2 * (now - pending.arrivedAt) > pending.targetAt - pending.arrivedAt;
-		return (overloaded) ? queue.newest() : oldest;
+		return (overloaded) ? fairQueue.newest() : oldest;
 	}
 
 	// Return the next of those that were begun and that any endpoint may go on with, or
 	// else the next of the lane.
-	Optional<PendingRequest> nextBegunFirst(int lane, long now) {
-		Optional<PendingRequest> first = this.begun.get(lane)
+	Optional<PendingRequest> nextRequeuedFirst(int lane, long now) {
+		Optional<PendingRequest> first = this.requeued.get(lane)
 			.stream()
-			.filter((pending) -> !pending.isPicky())
+			.filter((pending) -> !pending.isConstrained())
 			.findFirst();
 		return (first.isPresent()) ? first : next(lane, now);
 	}
 
-	List<PendingRequest> begun(int lane) {
-		return this.begun.get(lane);
+	List<PendingRequest> requeued(int lane) {
+		return this.requeued.get(lane);
 	}
 
 	int size() {
@@ -124,14 +124,14 @@
 	int sizeUpTo(int lane) {
 		int count = 0;
 		for (int i = 0; i <= lane; i++) {
-			count += this.lanes.get(i).size() + this.begun.get(i).size();
+			count += this.lanes.get(i).size() + this.requeued.get(i).size();
 		}
 		return count;
 	}
 
 	void forEach(Consumer<PendingRequest> action) {
 		this.lanes.forEach((lane) -> lane.forEach(action));
-		this.begun.forEach((list) -> list.forEach(action));
+		this.requeued.forEach((list) -> list.forEach(action));
 	}
 
 	private int lane(PendingRequest pending) {
--- a/core/src/main/java/org/acaciacourse/core/dispatch/Tuning.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/PolicySettings.java
@@ -21,13 +21,13 @@
  * @param credits the share of the slots that each VM takes as its own part
  * @param scarce the share of the slots from which free ones are given out by lot
  */
-record Tuning(double lowestShare, int choices, int overcommit, long staleNanos, double preemptAfter,
+record PolicySettings(double lowestShare, int choices, int overcommit, long staleNanos, double preemptAfter,
 		double stragglerFactor, double prefixBonus, int maxQueued, int maxAttempts, double credits, double scarce) {
 
 	private static final double NANOS_PER_MILLI = 1e6;
 
-	static Tuning of(Policy policy) {
-		return new Tuning(PolicyParameter.LOWEST_SHARE.of(policy), (int) PolicyParameter.CHOICES.of(policy),
+	static PolicySettings of(Policy policy) {
+		return new PolicySettings(PolicyParameter.LOWEST_SHARE.of(policy), (int) PolicyParameter.CHOICES.of(policy),
 				(int) PolicyParameter.OVERCOMMIT.of(policy),
 				(long) (PolicyParameter.STALE_AFTER.of(policy) * NANOS_PER_MILLI),
 				PolicyParameter.PREEMPT_AFTER.of(policy), PolicyParameter.STRAGGLER_FACTOR.of(policy),
--- a/core/src/main/java/org/acaciacourse/core/dispatch/learn/Spread.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/learn/DecayingHistogram.java
@@ -8,52 +8,52 @@
  * and is accurate to the factor, which is enough for estimates of answers whose lengths
  * differ a hundredfold.
  * <p>
- * Invariants: memory is fixed; until {@link #EVIDENCE} values were seen the spread says
- * so and callers use a wider one.
+ * Invariants: memory is fixed; until {@link #MIN_SAMPLES} values were seen the spread
+ * says so and callers use a wider one.
  * <p>
  * Not thread safe: owned by one dispatcher.
  */
-public final class Spread {
+public final class DecayingHistogram {
 
 	/** How many values make the spread worth using. */
-	public static final int EVIDENCE = 8;
+	public static final int MIN_SAMPLES = 8;
 
 	private static final int BUCKETS = 64;
 
-	private static final double FACTOR = 1.35;
+	private static final double BUCKET_GROWTH = 1.35;
 
-	private static final double[] BOUNDS = bounds();
+	private static final double[] LOWER_BOUNDS = bounds();
 
-	private static final double MEMORY = 400;
+	private static final double MAX_WEIGHT = 400;
 
 	private final float[] counts = new float[BUCKETS];
 
-	private double total;
+	private double totalWeight;
 
-	private double sum;
+	private double weightedSum;
 
-	private long seen;
+	private long sampleCount;
 
 	/**
 	 * Learn a value.
 	 * @param value the value
 	 */
-	public void learn(double value) {
-		if (this.total >= MEMORY) {
-			forgetHalf();
+	public void record(double value) {
+		if (this.totalWeight >= MAX_WEIGHT) {
+			halveWeights();
 		}
 		this.counts[bucket(value)]++;
-		this.total++;
-		this.sum += value;
-		this.seen++;
+		this.totalWeight++;
+		this.weightedSum += value;
+		this.sampleCount++;
 	}
 
 	/**
 	 * Return whether enough values were seen.
 	 * @return whether the spread may be used
 	 */
-	public boolean isKnown() {
-		return this.seen >= EVIDENCE;
+	public boolean hasEnoughSamples() {
+		return this.sampleCount >= MIN_SAMPLES;
 	}
 
 	/**
@@ -62,39 +62,39 @@
 	 * @return the mean
 	 */
 	public double mean(double defaultValue) {
-		return (isKnown()) ? this.sum / this.total : defaultValue;
+		return (hasEnoughSamples()) ? this.weightedSum / this.totalWeight : defaultValue;
 	}
 
 	/**
 	 * Return a quantile, rounded down to the bound of its bucket.
-	 * @param share the share of values at or below it, 0 to 1
+	 * @param fraction the share of values at or below it, 0 to 1
 	 * @param defaultValue the value as long as too little is known
 	 * @return the quantile
 	 */
-	public double quantile(double share, double defaultValue) {
-		if (!isKnown()) {
+	public double quantile(double fraction, double defaultValue) {
+		if (!hasEnoughSamples()) {
 			return defaultValue;
 		}
-		double left = share * this.total;
+		double left = fraction * this.totalWeight;
 		for (int i = 0; i < BUCKETS; i++) {
 			left -= this.counts[i];
 			if (left <= 0) {
-				return BOUNDS[i];
+				return LOWER_BOUNDS[i];
 			}
 		}
-		return BOUNDS[BUCKETS - 1];
+		return LOWER_BOUNDS[BUCKETS - 1];
 	}
 
-	private void forgetHalf() {
+	private void halveWeights() {
 		for (int i = 0; i < BUCKETS; i++) {
 			this.counts[i] /= 2;
 		}
-		this.total /= 2;
-		this.sum /= 2;
+		this.totalWeight /= 2;
+		this.weightedSum /= 2;
 	}
 
 	private static int bucket(double value) {
-		int found = Arrays.binarySearch(BOUNDS, value);
+		int found = Arrays.binarySearch(LOWER_BOUNDS, value);
 		return Math.max(0, (found >= 0) ? found : -found - 2);
 	}
 
@@ -102,7 +102,7 @@
 		double[] bounds = new double[BUCKETS];
 		bounds[0] = 1;
 		for (int i = 1; i < BUCKETS; i++) {
-			bounds[i] = bounds[i - 1] * FACTOR;
+			bounds[i] = bounds[i - 1] * BUCKET_GROWTH;
 		}
 		return bounds;
 	}
--- a/core/src/main/java/org/acaciacourse/core/dispatch/learn/Average.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/learn/MovingAverage.java
@@ -5,19 +5,19 @@
  * <p>
  * Not thread safe: owned by one dispatcher.
  */
-public final class Average {
+public final class MovingAverage {
 
 	private final double gain;
 
 	private double value;
 
-	private boolean known;
+	private boolean initialized;
 
 	/**
 	 * Create an average that knows nothing.
 	 * @param gain the weight of a new value, 0 to 1
 	 */
-	public Average(double gain) {
+	public MovingAverage(double gain) {
 		this.gain = gain;
 	}
 
@@ -25,9 +25,9 @@
 	 * Learn a value.
 	 * @param next the value
 	 */
-	public void learn(double next) {
-		this.value = (this.known) ? this.value + this.gain * (next - this.value) : next;
-		this.known = true;
+	public void update(double next) {
+		this.value = (this.initialized) ? this.value + this.gain * (next - this.value) : next;
+		this.initialized = true;
 	}
 
 	/**
@@ -35,7 +35,7 @@
 	 * @param target the value
 	 * @param share how far to go, 0 to 1
 	 */
-	public void relax(double target, double share) {
+	public void relaxTowards(double target, double share) {
 		this.value += share * (target - this.value);
 	}
 
@@ -43,8 +43,8 @@
 	 * Return whether a value was learnt.
 	 * @return whether the average is known
 	 */
-	public boolean isKnown() {
-		return this.known;
+	public boolean isInitialized() {
+		return this.initialized;
 	}
 
 	/**
@@ -53,14 +53,14 @@
 	 * @return the average
 	 */
 	public double get(double defaultValue) {
-		return (this.known) ? this.value : defaultValue;
+		return (this.initialized) ? this.value : defaultValue;
 	}
 
 	/**
 	 * Forget everything.
 	 */
 	public void reset() {
-		this.known = false;
+		this.initialized = false;
 		this.value = 0;
 	}
 
--- a/core/src/main/java/org/acaciacourse/core/dispatch/queue/FairQueue.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/queue/FairQueue.java
@@ -25,12 +25,12 @@
  */
 public final class FairQueue<T> {
 
-	private static final int IDLE_FLOWS_KEPT = 4_096;
+	private static final int MAX_IDLE_FLOWS = 4_096;
 
 	private final Map<String, Flow<T>> flows = new HashMap<>();
 
 	private final TreeSet<Flow<T>> order = new TreeSet<>(
-			Comparator.comparingDouble((Flow<T> flow) -> flow.start).thenComparing((flow) -> flow.name));
+			Comparator.comparingDouble((Flow<T> flow) -> flow.startTag).thenComparing((flow) -> flow.name));
 
 	private double virtualTime;
 
@@ -82,11 +82,11 @@
 	 */
 	public void serve(String flowName, T item, double charge) {
 		Flow<T> flow = this.flows.get(flowName);
-		this.virtualTime = Math.max(this.virtualTime, flow.start);
+		this.virtualTime = Math.max(this.virtualTime, flow.startTag);
 		this.order.remove(flow);
-		takeOut(flow, item);
-		flow.start += charge;
-		settle(flow);
+		unlink(flow, item);
+		flow.startTag += charge;
+		reorderOrForget(flow);
 	}
 
 	/**
@@ -101,8 +101,8 @@
 			return false;
 		}
 		this.order.remove(flow);
-		takeOut(flow, item);
-		settle(flow);
+		unlink(flow, item);
+		reorderOrForget(flow);
 		return true;
 	}
 
@@ -140,7 +140,7 @@
 		this.order.forEach((flow) -> flow.items.forEach(action));
 	}
 
-	private void takeOut(Flow<T> flow, T item) {
+	private void unlink(Flow<T> flow, T item) {
 		if (flow.items.peekLast() == item) {
 			flow.items.removeLast();
 		}
@@ -150,11 +150,11 @@
 		this.size--;
 	}
 
-	private void settle(Flow<T> flow) {
+	private void reorderOrForget(Flow<T> flow) {
 		if (!flow.items.isEmpty()) {
 			this.order.add(flow);
 		}
-		else if (flow.start <= this.virtualTime || this.flows.size() > IDLE_FLOWS_KEPT) {
+		else if (flow.startTag <= this.virtualTime || this.flows.size() > MAX_IDLE_FLOWS) {
 			this.flows.remove(flow.name);
 		}
 	}
@@ -162,7 +162,7 @@
 	private Flow<T> activate(String name) {
 		Flow<T> flow = this.flows.computeIfAbsent(name, Flow::new);
 		if (flow.items.isEmpty()) {
-			flow.start = Math.max(flow.start, this.virtualTime);
+			flow.startTag = Math.max(flow.startTag, this.virtualTime);
 			this.order.add(flow);
 		}
 		return flow;
@@ -175,7 +175,7 @@
 
 		private final ArrayDeque<T> items = new ArrayDeque<>();
 
-		private double start;
+		private double startTag;
 
 		private Flow(String name) {
 			this.name = name;
--- a/core/src/main/java/org/acaciacourse/core/dispatch/retry/RetryBudget.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/retry/RetryBudget.java
@@ -12,7 +12,7 @@
  */
 public final class RetryBudget {
 
-	private final double reserve;
+	private final double capacity;
 
 	private final double ratio;
 
@@ -20,34 +20,34 @@
 
 	/**
 	 * Create a full budget.
-	 * @param reserve how many retries are possible at once
+	 * @param capacity how many retries are possible at once
 	 * @param ratio retries earned by a first attempt
 	 */
-	public RetryBudget(double reserve, double ratio) {
-		this.reserve = reserve;
+	public RetryBudget(double capacity, double ratio) {
+		this.capacity = capacity;
 		this.ratio = ratio;
-		this.balance = reserve;
+		this.balance = capacity;
 	}
 
 	/**
 	 * Note a first attempt.
 	 */
-	public void earn() {
-		this.balance = Math.min(this.reserve, this.balance + this.ratio);
+	public void deposit() {
+		this.balance = Math.min(this.capacity, this.balance + this.ratio);
 	}
 
 	/**
 	 * Return whether a retry is within the budget.
 	 * @return whether one may be spent
 	 */
-	public boolean hasOne() {
+	public boolean canWithdraw() {
 		return this.balance >= 1;
 	}
 
 	/**
 	 * Take one retry out of the budget.
 	 */
-	public void spend() {
+	public void withdraw() {
 		this.balance = Math.max(0, this.balance - 1);
 	}
 
--- a/core/src/main/java/org/acaciacourse/core/dispatch/suspect/SuspectTable.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/suspect/SuspectTable.java
@@ -10,8 +10,9 @@
  * of it was the cause. A suspect runs apart; a crash there is proof, and from the second
  * crash on the content is refused. A whole answer clears it.
  * <p>
- * Invariants: an entry has one or two crashes; at most {@link #LIMIT} entries, the oldest
- * goes first; a conviction lapses after {@link #MEMORY_NANOS}, so that a wrong one heals.
+ * Invariants: an entry has one or two crashes; at most {@link #MAX_ENTRIES} entries, the
+ * oldest goes first; a conviction lapses after {@link #RETENTION_NANOS}, so that a wrong
+ * one heals.
  * <p>
  * Not thread safe: owned by one dispatcher.
  */
@@ -21,44 +22,44 @@
 	public static final int CONVICTION = 2;
 
 	/** The most entries. */
-	public static final int LIMIT = 4_096;
+	public static final int MAX_ENTRIES = 4_096;
 
 	/** How long an entry is kept. */
-	public static final long MEMORY_NANOS = 3_600_000_000_000L;
+	public static final long RETENTION_NANOS = 3_600_000_000_000L;
 
 	/**
 	 * In which the reports of all VMs come by way of control, from when the own one came
 	 * back.
 	 */
-	static final long SETTLE_NANOS = 1_000_000_000L;
+	static final long REPORT_PROPAGATION_NANOS = 1_000_000_000L;
 
 	/** How long the own report is waited for: control may be lost. */
-	static final long UNCONFIRMED_NANOS = 5_000_000_000L;
+	static final long CONFIRMATION_TIMEOUT_NANOS = 5_000_000_000L;
 
-	private static final long ACTIVE_NANOS = 20_000_000_000L;
+	private static final long ACTIVE_WINDOW_NANOS = 20_000_000_000L;
 
 	private final Map<Long, Entry> entries = new LinkedHashMap<>();
 
-	private long lastSuspicion = Long.MIN_VALUE / 2;
+	private long lastReportAt = Long.MIN_VALUE / 2;
 
 	/**
 	 * Note how many crashes a content had part in.
 	 * @param contentHash the hash of customer and content
 	 * @param crashes how many crashes, 0 clears it
-	 * @param own whether this VM ran it, so that it is this VM's task to try it again;
+	 * @param local whether this VM ran it, so that it is this VM's task to try it again;
 	 * false also for its own report that comes back from control
 	 * @param now the time
 	 */
-	public void note(long contentHash, int crashes, boolean own, long now) {
+	public void record(long contentHash, int crashes, boolean local, long now) {
 		Entry old = this.entries.remove(contentHash);
 		if (crashes <= 0) {
 			return;
 		}
-		this.lastSuspicion = now;
-		int most = (old != null) ? Math.max(old.crashes, crashes) : crashes;
-		boolean ours = own || (old != null && old.own);
-		this.entries.put(contentHash, new Entry(Math.min(most, CONVICTION), ours, !own, now));
-		if (this.entries.size() > LIMIT) {
+		this.lastReportAt = now;
+		int maxCrashes = (old != null) ? Math.max(old.crashes, crashes) : crashes;
+		boolean everLocal = local || (old != null && old.local);
+		this.entries.put(contentHash, new Entry(Math.min(maxCrashes, CONVICTION), everLocal, !local, now));
+		if (this.entries.size() > MAX_ENTRIES) {
 			Iterator<Long> oldest = this.entries.keySet().iterator();
 			oldest.next();
 			oldest.remove();
@@ -82,15 +83,16 @@
 	 * without a word between them: two at once on one endpoint would make each look
 	 * guilty of the other's crash.
 	 * @param contentHash the hash of customer and content
-	 * @param places how many endpoints try suspects side by side
+	 * @param endpointCount how many endpoints try suspects side by side
 	 * @param now the time
 	 * @return the number of suspects before it at its place
 	 */
-	public int rank(long contentHash, int places, long now) {
+	public int rank(long contentHash, int endpointCount, long now) {
 		int rank = 0;
-		int place = Math.floorMod(contentHash, places);
+		int endpointIndex = Math.floorMod(contentHash, endpointCount);
 		for (Map.Entry<Long, Entry> entry : this.entries.entrySet()) {
-			boolean before = entry.getKey() < contentHash && Math.floorMod(entry.getKey(), places) == place;
+			boolean before = entry.getKey() < contentHash
+					&& Math.floorMod(entry.getKey(), endpointCount) == endpointIndex;
 			rank += (before && isActive(entry.getValue(), now)) ? 1 : 0;
 		}
 		return rank;
@@ -101,13 +103,13 @@
 	 * @param now the time
 	 * @return whether there is an active suspect
 	 */
-	public boolean hasActive(long now) {
-		return now - this.lastSuspicion <= ACTIVE_NANOS
+	public boolean hasActiveSuspect(long now) {
+		return now - this.lastReportAt <= ACTIVE_WINDOW_NANOS
 				&& this.entries.values().stream().anyMatch((entry) -> isActive(entry, now));
 	}
 
 	private static boolean isActive(Entry entry, long now) {
-		return entry.crashes < CONVICTION && now - entry.since <= ACTIVE_NANOS;
+		return entry.crashes < CONVICTION && now - entry.updatedAt <= ACTIVE_WINDOW_NANOS;
 	}
 
 	/**
@@ -117,31 +119,31 @@
 	 * would convict both. Otherwise only after the VM that ran it had time to come to a
 	 * verdict. Two VMs that try it at the same time would lose two more endpoints.
 	 * @param contentHash the hash of customer and content
-	 * @param holdNanos how long to wait for the verdict of another VM
+	 * @param remoteDelayNanos how long to wait for the verdict of another VM
 	 * @param now the time
 	 * @return the time
 	 */
-	public long trialFrom(long contentHash, long holdNanos, long now) {
+	public long isolatedAttemptAllowedAt(long contentHash, long remoteDelayNanos, long now) {
 		Entry entry = find(contentHash, now);
 		if (entry == null) {
 			return now;
 		}
-		if (!entry.own) {
-			return entry.since + holdNanos;
+		if (!entry.local) {
+			return entry.updatedAt + remoteDelayNanos;
 		}
-		return entry.since + ((entry.confirmed) ? SETTLE_NANOS : UNCONFIRMED_NANOS);
+		return entry.updatedAt + ((entry.confirmed) ? REPORT_PROPAGATION_NANOS : CONFIRMATION_TIMEOUT_NANOS);
 	}
 
 	private Entry find(long contentHash, long now) {
 		Entry entry = this.entries.get(contentHash);
-		if (entry != null && now - entry.since > MEMORY_NANOS) {
+		if (entry != null && now - entry.updatedAt > RETENTION_NANOS) {
 			this.entries.remove(contentHash);
 			return null;
 		}
 		return entry;
 	}
 
-	private record Entry(int crashes, boolean own, boolean confirmed, long since) {
+	private record Entry(int crashes, boolean local, boolean confirmed, long updatedAt) {
 	}
 
 }
--- a/core/src/test/java/org/acaciacourse/core/dispatch/Driver.java
+++ b/core/src/test/java/org/acaciacourse/core/dispatch/Driver.java
@@ -34,11 +34,11 @@
 
 	final Map<Long, ResultCode> finished = new HashMap<>();
 
-	final Map<Long, Optional<Duration>> comeBack = new HashMap<>();
+	final Map<Long, Optional<Duration>> retryAfters = new HashMap<>();
 
 	final Map<Long, TargetEstimate> estimates = new HashMap<>();
 
-	final Map<Long, Integer> suspects = new HashMap<>();
+	final Map<Long, Integer> publishedSuspects = new HashMap<>();
 
 	final PolicyDispatcher dispatcher = new PolicyDispatcher(this, 7);
 
@@ -55,11 +55,12 @@
 		for (PolicyKind kind : PolicyKind.values()) {
 			policies.put(kind.label(), new Policy(kind.label(), kind, parameters));
 		}
-		LatencyTarget soon = new LatencyTarget(LatencyTarget.Kind.FIRST_TOKEN, Duration.ofSeconds(2));
-		LatencyTarget late = new LatencyTarget(LatencyTarget.Kind.WHOLE_ANSWER, Duration.ofHours(1));
+		LatencyTarget firstTokenTarget = new LatencyTarget(LatencyTarget.Kind.FIRST_TOKEN, Duration.ofSeconds(2));
+		LatencyTarget wholeAnswerTarget = new LatencyTarget(LatencyTarget.Kind.WHOLE_ANSWER, Duration.ofHours(1));
 		Map<String, RequestClass> classes = Map.of("broker",
-				new RequestClass("broker", Tier.HIGH, soon, Duration.ofSeconds(60), false, List.of("llm")), "night",
-				new RequestClass("night", Tier.LOW, late, Duration.ofHours(2), true, List.of("llm")));
+				new RequestClass("broker", Tier.HIGH, firstTokenTarget, Duration.ofSeconds(60), false, List.of("llm")),
+				"night",
+				new RequestClass("night", Tier.LOW, wholeAnswerTarget, Duration.ofHours(2), true, List.of("llm")));
 		Map<String, Endpoint> declared = new HashMap<>();
 		for (int i = 0; i < endpoints; i++) {
 			URI address = URI.create("http://127.0.0.1:" + (9000 + i));
@@ -82,7 +83,7 @@
 		return id;
 	}
 
-	void pass(long nanos) {
+	void advance(long nanos) {
 		long end = this.now + nanos;
 		while (this.now < end) {
 			this.now = Math.min(end, this.now + SECOND / 50);
@@ -90,20 +91,20 @@
 		}
 	}
 
-	Attempt last() {
+	Attempt lastAttempt() {
 		return this.attempts.get(this.attempts.size() - 1);
 	}
 
-	Attempt attemptOf(long requestId) {
+	Attempt lastAttemptOf(long requestId) {
 		List<Attempt> own = this.attempts.stream().filter((attempt) -> attempt.requestId() == requestId).toList();
 		return own.get(own.size() - 1);
 	}
 
-	long attemptsOf(long requestId) {
+	long attemptCount(long requestId) {
 		return this.attempts.stream().filter((attempt) -> attempt.requestId() == requestId).count();
 	}
 
-	void end(Attempt attempt, AttemptOutcome outcome) {
+	void endAttempt(Attempt attempt, AttemptOutcome outcome) {
 		this.dispatcher.ended(attempt.id(), outcome, this.now);
 	}
 
@@ -122,7 +123,7 @@
 		if (this.finished.put(requestId, code) != null) {
 			throw new AssertionError("second answer to request " + requestId);
 		}
-		this.comeBack.put(requestId, retryAfter);
+		this.retryAfters.put(requestId, retryAfter);
 	}
 
 	@Override
@@ -132,7 +133,7 @@
 
 	@Override
 	public void publishSuspect(long contentHash, int crashes) {
-		this.suspects.put(contentHash, crashes);
+		this.publishedSuspects.put(contentHash, crashes);
 	}
 
 	@Override
--- a/core/src/test/java/org/acaciacourse/core/dispatch/PolicyDispatcherTests.java
+++ b/core/src/test/java/org/acaciacourse/core/dispatch/PolicyDispatcherTests.java
@@ -26,10 +26,10 @@
 			long night = driver.arrive("night");
 			driver.arrive("broker");
 			long broker = driver.arrive("broker");
-			driver.end(driver.attemptOf(first), AttemptOutcome.COMPLETE);
-			driver.end(driver.last(), AttemptOutcome.COMPLETE);
-			assertThat(driver.attemptsOf(broker)).isEqualTo(1);
-			assertThat(driver.attemptsOf(night)).isEqualTo(0);
+			driver.endAttempt(driver.lastAttemptOf(first), AttemptOutcome.COMPLETE);
+			driver.endAttempt(driver.lastAttempt(), AttemptOutcome.COMPLETE);
+			assertThat(driver.attemptCount(broker)).isEqualTo(1);
+			assertThat(driver.attemptCount(night)).isEqualTo(0);
 		}
 
 		@Test
@@ -38,20 +38,20 @@
 			long first = driver.arrive("broker");
 			long night = driver.arrive("night");
 			driver.arrive("broker");
-			driver.end(driver.attemptOf(first), AttemptOutcome.COMPLETE);
-			assertThat(driver.last().requestId()).isEqualTo(night);
+			driver.endAttempt(driver.lastAttemptOf(first), AttemptOutcome.COMPLETE);
+			assertThat(driver.lastAttempt().requestId()).isEqualTo(night);
 		}
 
 		@Test
-		void aSwapOfPolicyReordersWhatWaits() {
+		void policyChangeReordersWaitingRequests() {
 			Driver driver = new Driver("fifo", 1, 1);
 			long first = driver.arrive("broker");
 			driver.arrive("night");
 			long broker = driver.arrive("broker");
 			driver.dispatcher.configure(Driver.manifest("tiered", 1, 1, Map.of("overcommit", 0.0)), driver.now);
-			driver.end(driver.attemptOf(first), AttemptOutcome.COMPLETE);
-			assertThat(driver.last().requestId()).isEqualTo(broker);
-			assertThat(driver.last().policy()).isEqualTo("tiered");
+			driver.endAttempt(driver.lastAttemptOf(first), AttemptOutcome.COMPLETE);
+			assertThat(driver.lastAttempt().requestId()).isEqualTo(broker);
+			assertThat(driver.lastAttempt().policy()).isEqualTo("tiered");
 		}
 
 	}
@@ -63,17 +63,17 @@
 		// The overnight run is cancelled, the question is sent at once, and the
 		// overnight answer goes on where it stopped, so that no token is lost.
 		@Test
-		void lowerWorkGivesWayAndGoesOnLater() {
+		void lowerTierIsPreemptedAndResumedLater() {
 			Driver driver = new Driver("tiered", 1, 1);
 			long night = driver.arrive("night");
-			Attempt preempted = driver.attemptOf(night);
+			Attempt preempted = driver.lastAttemptOf(night);
 			driver.dispatcher.tokens(preempted.id(), 40, driver.now);
 			long broker = driver.arrive("broker");
 			assertThat(driver.cancelled).containsExactly(preempted.id());
-			assertThat(driver.attemptsOf(broker)).isEqualTo(1);
-			driver.end(preempted, AttemptOutcome.CANCELLED);
-			driver.end(driver.attemptOf(broker), AttemptOutcome.COMPLETE);
-			assertThat(driver.attemptOf(night).resumeAt()).isEqualTo(40);
+			assertThat(driver.attemptCount(broker)).isEqualTo(1);
+			driver.endAttempt(preempted, AttemptOutcome.CANCELLED);
+			driver.endAttempt(driver.lastAttemptOf(broker), AttemptOutcome.COMPLETE);
+			assertThat(driver.lastAttemptOf(night).resumeAt()).isEqualTo(40);
 		}
 
 	}
@@ -82,49 +82,49 @@
 	class Retry {
 
 		@Test
-		void goesToAnotherEndpointAfterALoss() {
+		void usesAnotherEndpointAfterLostConnection() {
 			Driver driver = new Driver("tiered", 3, 4);
 			long id = driver.arrive("broker");
-			String first = driver.attemptOf(id).endpoint();
-			driver.end(driver.attemptOf(id), AttemptOutcome.LOST);
-			driver.pass(Driver.SECOND / 2);
-			assertThat(driver.attemptsOf(id)).isEqualTo(2);
-			assertThat(driver.attemptOf(id).endpoint()).isNotEqualTo(first);
+			String first = driver.lastAttemptOf(id).endpoint();
+			driver.endAttempt(driver.lastAttemptOf(id), AttemptOutcome.LOST);
+			driver.advance(Driver.SECOND / 2);
+			assertThat(driver.attemptCount(id)).isEqualTo(2);
+			assertThat(driver.lastAttemptOf(id).endpoint()).isNotEqualTo(first);
 		}
 
 		// An engine freezes and its silence is noticed only after the target has passed.
 		// The request is late by no fault of its caller: it goes on elsewhere and is not
 		// refused for the target.
 		@Test
-		void goesOnElsewhereThoughTheTargetHasPassed() {
+		void usesAnotherEndpointAfterTargetHasPassed() {
 			Driver driver = new Driver("tiered", 3, 4);
 			long id = driver.arrive("broker");
-			driver.pass(5 * Driver.SECOND);
-			driver.end(driver.attemptOf(id), AttemptOutcome.SILENT);
-			driver.pass(Driver.SECOND / 2);
-			assertThat(driver.attemptsOf(id)).isEqualTo(2);
+			driver.advance(5 * Driver.SECOND);
+			driver.endAttempt(driver.lastAttemptOf(id), AttemptOutcome.SILENT);
+			driver.advance(Driver.SECOND / 2);
+			assertThat(driver.attemptCount(id)).isEqualTo(2);
 			assertThat(driver.finished).isEmpty();
 		}
 
 		// A claim note was on its way when the connection broke, so that the endpoint
 		// may have run it. A second attempt could post it twice; the caller is told.
 		@Test
-		void neverRepeatsWhatMayHaveRun() {
+		void doesNotRepeatMarkedRequestThatMayHaveRun() {
 			Driver driver = new Driver("tiered", 3, 4);
 			long id = driver.arrive("broker", 5, true);
-			driver.end(driver.attemptOf(id), AttemptOutcome.LOST);
-			driver.pass(Driver.SECOND);
-			assertThat(driver.attemptsOf(id)).isEqualTo(1);
+			driver.endAttempt(driver.lastAttemptOf(id), AttemptOutcome.LOST);
+			driver.advance(Driver.SECOND);
+			assertThat(driver.attemptCount(id)).isEqualTo(1);
 			assertThat(driver.finished).containsEntry(id, ResultCode.ENDPOINT_LOST);
 		}
 
 		@Test
-		void repeatsWhatWasNotSent() {
+		void repeatsMarkedRequestThatWasNotSent() {
 			Driver driver = new Driver("tiered", 3, 4);
 			long id = driver.arrive("broker", 5, true);
-			driver.end(driver.attemptOf(id), AttemptOutcome.NOT_SENT);
-			driver.pass(Driver.SECOND / 2);
-			assertThat(driver.attemptsOf(id)).isEqualTo(2);
+			driver.endAttempt(driver.lastAttemptOf(id), AttemptOutcome.NOT_SENT);
+			driver.advance(Driver.SECOND / 2);
+			assertThat(driver.attemptCount(id)).isEqualTo(2);
 		}
 
 	}
@@ -133,23 +133,23 @@
 	class Refusal {
 
 		@Test
-		void comesAtOnceWithATimeToComeBack() {
+		void isImmediateAndHasRetryAfter() {
 			Driver driver = new Driver("tiered", 1, 1);
 			for (int i = 0; i < 20; i++) {
 				long id = driver.arrive("night");
-				driver.pass(4 * Driver.SECOND);
-				driver.end(driver.attemptOf(id), AttemptOutcome.COMPLETE);
+				driver.advance(4 * Driver.SECOND);
+				driver.endAttempt(driver.lastAttemptOf(id), AttemptOutcome.COMPLETE);
 				long broker = driver.arrive("broker");
-				driver.dispatcher.tokens(driver.attemptOf(broker).id(), 1, driver.now);
-				driver.pass(4 * Driver.SECOND);
-				driver.end(driver.attemptOf(broker), AttemptOutcome.COMPLETE);
+				driver.dispatcher.tokens(driver.lastAttemptOf(broker).id(), 1, driver.now);
+				driver.advance(4 * Driver.SECOND);
+				driver.endAttempt(driver.lastAttemptOf(broker), AttemptOutcome.COMPLETE);
 			}
 			long last = 0;
 			for (int i = 0; i < 9; i++) {
 				last = driver.arrive("broker");
 			}
 			assertThat(driver.finished).containsEntry(last, ResultCode.TARGET_UNREACHABLE);
-			assertThat(driver.comeBack.get(last)).isPresent();
+			assertThat(driver.retryAfters.get(last)).isPresent();
 		}
 
 		/*
@@ -158,12 +158,12 @@
 		 * endpoints.
 		 */
 		@Test
-		void tellsWhatItWentBy() {
+		void reportsEstimateBehindRefusal() {
 			Driver driver = new Driver("tiered", 2, 1);
 			driver.dispatcher.endpointStatus("llm-1", EndpointStatus.LEAVING, driver.now);
 			long running = driver.arrive("broker");
 			long waiting = driver.arrive("broker");
-			driver.pass(3 * Driver.SECOND);
+			driver.advance(3 * Driver.SECOND);
 			assertThat(driver.finished).containsExactly(waiting, ResultCode.TARGET_UNREACHABLE);
 			TargetEstimate estimate = driver.estimates.get(waiting);
 			assertThat(estimate.waited()).isAtLeast(estimate.target());
@@ -174,7 +174,7 @@
 		}
 
 		@Test
-		void namesTheReason() {
+		void reportsReason() {
 			Driver driver = new Driver("tiered", 1, 1);
 			driver.dispatcher.endpointStatus("llm-0", EndpointStatus.LEAVING, driver.now);
 			assertThat(driver.finished).containsEntry(driver.arrive("broker"), ResultCode.NO_ENDPOINT);
@@ -192,33 +192,33 @@
 		// the second endpoint, is refused there and when it is sent again; the
 		// innocent one gets its answer.
 		@Test
-		void refusesTheContentAfterTheSecondCrashAndAnswersTheOther() {
+		void refusesContentAfterSecondCrashAndAnswersTheOther() {
 			Driver driver = new Driver("tiered", 8, 4);
 			long poison = driver.arrive("broker", 666, false);
 			driver.dispatcher.configure(Driver.manifest("tiered", 8, 4, Map.of()), driver.now);
-			long innocent = driver.arrive("broker", 1, false);
+			long harmless = driver.arrive("broker", 1, false);
 			Set<String> crashed = new HashSet<>();
-			crashed.add(driver.attemptOf(poison).endpoint());
-			driver.end(driver.attemptOf(poison), AttemptOutcome.CRASHED);
-			driver.end(driver.attemptOf(innocent), AttemptOutcome.CRASHED);
+			crashed.add(driver.lastAttemptOf(poison).endpoint());
+			driver.endAttempt(driver.lastAttemptOf(poison), AttemptOutcome.CRASHED);
+			driver.endAttempt(driver.lastAttemptOf(harmless), AttemptOutcome.CRASHED);
 			for (int i = 0; i < 100 && !driver.finished.containsKey(poison); i++) {
-				driver.pass(Driver.SECOND / 4);
-				settle(driver, poison, innocent, crashed);
+				driver.advance(Driver.SECOND / 4);
+				endSecondAttempts(driver, poison, harmless, crashed);
 			}
 			assertThat(driver.finished).containsEntry(poison, ResultCode.CRASHING_CONTENT);
 			assertThat(driver.finished).containsEntry(driver.arrive("broker", 666, false), ResultCode.CRASHING_CONTENT);
 			assertThat(crashed).hasSize(2);
-			assertThat(driver.suspects).containsEntry(666L, 2);
-			assertThat(driver.suspects).containsEntry(1L, 0);
+			assertThat(driver.publishedSuspects).containsEntry(666L, 2);
+			assertThat(driver.publishedSuspects).containsEntry(1L, 0);
 		}
 
-		private void settle(Driver driver, long poison, long innocent, Set<String> crashed) {
-			if (driver.attemptsOf(poison) == 2 && !driver.finished.containsKey(poison)) {
-				crashed.add(driver.attemptOf(poison).endpoint());
-				driver.end(driver.attemptOf(poison), AttemptOutcome.CRASHED);
+		private void endSecondAttempts(Driver driver, long poison, long harmless, Set<String> crashed) {
+			if (driver.attemptCount(poison) == 2 && !driver.finished.containsKey(poison)) {
+				crashed.add(driver.lastAttemptOf(poison).endpoint());
+				driver.endAttempt(driver.lastAttemptOf(poison), AttemptOutcome.CRASHED);
 			}
-			if (driver.attemptsOf(innocent) == 2) {
-				driver.end(driver.attemptOf(innocent), AttemptOutcome.COMPLETE);
+			if (driver.attemptCount(harmless) == 2) {
+				driver.endAttempt(driver.lastAttemptOf(harmless), AttemptOutcome.COMPLETE);
 			}
 		}
 
--- a/core/src/test/java/org/acaciacourse/core/dispatch/RandomEventsTests.java
+++ b/core/src/test/java/org/acaciacourse/core/dispatch/RandomEventsTests.java
@@ -28,25 +28,25 @@
 	// nothing is sent to the endpoint that has just failed it.
 	@Property(tries = 60, seed = "17")
 	void eachRequestGetsOneAnswerAndRunsWhereItMay(@ForAll long seed) {
-		Trial trial = new Trial(seed);
+		EventSequence sequence = new EventSequence(seed);
 		for (int i = 0; i < 600; i++) {
-			trial.step();
+			sequence.step();
 		}
-		trial.settle();
-		assertThat(trial.answered).isEqualTo(trial.arrived);
-		assertThat(trial.driver.dispatcher.openRequests()).isEqualTo(0);
+		sequence.completeOpenRequests();
+		assertThat(sequence.answered).isEqualTo(sequence.arrived);
+		assertThat(sequence.driver.dispatcher.openRequests()).isEqualTo(0);
 	}
 
 	/** One run with its own books. */
-	private static final class Trial {
+	private static final class EventSequence {
 
 		private final SplittableRandom random;
 
 		private final Driver driver = new Driver("tiered", 5, 3);
 
-		private final Map<Long, Attempt> open = new HashMap<>();
+		private final Map<Long, Attempt> openAttempts = new HashMap<>();
 
-		private final Map<Long, String> failedAt = new HashMap<>();
+		private final Map<Long, String> lastFailedEndpoint = new HashMap<>();
 
 		private final Set<Long> mayHaveRun = new HashSet<>();
 
@@ -56,9 +56,9 @@
 
 		private final Set<Long> answered = new HashSet<>();
 
-		private int seen;
+		private int observedAttempts;
 
-		private Trial(long seed) {
+		private EventSequence(long seed) {
 			this.random = new SplittableRandom(seed);
 		}
 
@@ -66,25 +66,25 @@
 			switch (this.random.nextInt(8)) {
 				case 0, 1, 2 -> arrive();
 				case 3, 4 -> endOne();
-				case 5 -> this.driver.pass(this.random.nextInt(200) * 1_000_000L);
+				case 5 -> this.driver.advance(this.random.nextInt(200) * 1_000_000L);
 				case 6 -> tokens();
-				default -> disturb();
+				default -> injectEvent();
 			}
 			observe();
 		}
 
 		private void arrive() {
-			boolean marked = this.random.nextInt(4) == 0;
+			boolean nonRepeatable = this.random.nextInt(4) == 0;
 			String requestClass = (this.random.nextBoolean()) ? "broker" : "night";
-			long id = this.driver.arrive(requestClass, this.random.nextInt(40), marked);
+			long id = this.driver.arrive(requestClass, this.random.nextInt(40), nonRepeatable);
 			this.arrived.add(id);
-			if (marked) {
+			if (nonRepeatable) {
 				this.notRepeated.add(id);
 			}
 		}
 
 		private Attempt pick() {
-			List<Attempt> all = new ArrayList<>(this.open.values());
+			List<Attempt> all = new ArrayList<>(this.openAttempts.values());
 			return (all.isEmpty()) ? null : all.get(this.random.nextInt(all.size()));
 		}
 
@@ -96,17 +96,18 @@
 		}
 
 		private void end(Attempt attempt, AttemptOutcome outcome) {
-			this.open.remove(attempt.id());
+			this.openAttempts.remove(attempt.id());
 			boolean wanted = !this.driver.finished.containsKey(attempt.requestId());
 			boolean notRun = outcome == AttemptOutcome.NOT_SENT || outcome == AttemptOutcome.REFUSED;
 			if (!notRun) {
 				this.mayHaveRun.add(attempt.requestId());
 			}
-			this.failedAt.put(attempt.requestId(), (outcome == AttemptOutcome.CANCELLED) ? "" : attempt.endpoint());
+			this.lastFailedEndpoint.put(attempt.requestId(),
+					(outcome == AttemptOutcome.CANCELLED) ? "" : attempt.endpoint());
 			if (outcome == AttemptOutcome.COMPLETE && wanted) {
 				assertThat(this.answered.add(attempt.requestId())).isTrue();
 			}
-			this.driver.end(attempt, outcome);
+			this.driver.endAttempt(attempt, outcome);
 			observe();
 		}
 
@@ -117,7 +118,7 @@
 			}
 		}
 
-		private void disturb() {
+		private void injectEvent() {
 			String endpoint = "llm-" + this.random.nextInt(5);
 			switch (this.random.nextInt(4)) {
 				case 0 -> this.driver.dispatcher.endpointStatus(endpoint,
@@ -133,35 +134,35 @@
 
 		/** Take in what the dispatcher wanted since the last look. */
 		private void observe() {
-			while (this.seen < this.driver.attempts.size()) {
-				Attempt attempt = this.driver.attempts.get(this.seen++);
+			while (this.observedAttempts < this.driver.attempts.size()) {
+				Attempt attempt = this.driver.attempts.get(this.observedAttempts++);
 				long id = attempt.requestId();
 				assertThat(this.answered).doesNotContain(id);
 				assertThat(this.notRepeated.contains(id) && this.mayHaveRun.contains(id)).isFalse();
-				assertThat(attempt.endpoint()).isNotEqualTo(this.failedAt.get(id));
-				this.open.put(attempt.id(), attempt);
+				assertThat(attempt.endpoint()).isNotEqualTo(this.lastFailedEndpoint.get(id));
+				this.openAttempts.put(attempt.id(), attempt);
 			}
 			this.answered.addAll(this.driver.finished.keySet());
 			for (long id : List.copyOf(this.driver.cancelled)) {
 				this.driver.cancelled.remove(id);
-				if (this.open.containsKey(id)) {
-					end(this.open.get(id), AttemptOutcome.CANCELLED);
+				if (this.openAttempts.containsKey(id)) {
+					end(this.openAttempts.get(id), AttemptOutcome.CANCELLED);
 				}
 			}
 		}
 
 		/** Let all endpoints answer until nothing is open. */
-		private void settle() {
+		private void completeOpenRequests() {
 			for (int i = 0; i < 5; i++) {
 				this.driver.dispatcher.endpointStatus("llm-" + i, EndpointStatus.LIVE, this.driver.now);
 			}
 			for (int i = 0; i < 3_000 && this.driver.dispatcher.openRequests() > 0; i++) {
-				List.copyOf(this.open.values()).forEach((attempt) -> {
-					if (this.open.containsKey(attempt.id())) {
+				List.copyOf(this.openAttempts.values()).forEach((attempt) -> {
+					if (this.openAttempts.containsKey(attempt.id())) {
 						end(attempt, AttemptOutcome.COMPLETE);
 					}
 				});
-				this.driver.pass(Driver.SECOND / 10);
+				this.driver.advance(Driver.SECOND / 10);
 				observe();
 			}
 		}
--- a/core/src/test/java/org/acaciacourse/core/dispatch/RecoveryTests.java
+++ b/core/src/test/java/org/acaciacourse/core/dispatch/RecoveryTests.java
@@ -13,10 +13,10 @@
 class RecoveryTests {
 
 	private static void answer(Driver driver, long request, long firstTokenAfter) {
-		Attempt attempt = driver.attemptOf(request);
-		driver.pass(firstTokenAfter);
+		Attempt attempt = driver.lastAttemptOf(request);
+		driver.advance(firstTokenAfter);
 		driver.dispatcher.tokens(attempt.id(), 10, driver.now);
-		driver.end(attempt, AttemptOutcome.COMPLETE);
+		driver.endAttempt(attempt, AttemptOutcome.COMPLETE);
 	}
 
 	@Nested
@@ -27,14 +27,14 @@
 		// for what had been learnt, so that nothing better could be learnt: the callers
 		// got 202 for good.
 		@Test
-		void idleEndpointIsTriedWhateverWasLearnt() {
+		void idleEndpointIsUsedDespiteSlowEstimates() {
 			Driver driver = new Driver("tiered", 3, 8);
 			for (int i = 0; i < 30; i++) {
 				answer(driver, driver.arrive("broker"), 5 * Driver.SECOND);
 			}
 			long request = driver.arrive("broker");
 			assertThat(driver.finished).doesNotContainKey(request);
-			assertThat(driver.attemptsOf(request)).isEqualTo(1);
+			assertThat(driver.attemptCount(request)).isEqualTo(1);
 		}
 
 	}
@@ -54,9 +54,9 @@
 			long request = driver.arrive("broker");
 			driver.arrive("broker");
 			driver.arrive("broker");
-			driver.pass(3 * Driver.SECOND);
-			driver.end(driver.attemptOf(request), AttemptOutcome.SILENT);
-			driver.pass(Driver.SECOND);
+			driver.advance(3 * Driver.SECOND);
+			driver.endAttempt(driver.lastAttemptOf(request), AttemptOutcome.SILENT);
+			driver.advance(Driver.SECOND);
 			assertThat(driver.finished).doesNotContainKey(request);
 		}
 
@@ -69,21 +69,21 @@
 		// endpoint only, and there is none: the caller waited until its deadline beside
 		// an idle endpoint.
 		@Test
-		void refusedRequestIsTriedThereAgain() {
+		void refusedRequestIsRetriedOnSameEndpoint() {
 			Driver driver = new Driver("tiered", 1, 8);
 			long request = driver.arrive("broker");
-			driver.end(driver.attemptOf(request), AttemptOutcome.REFUSED);
-			driver.pass(Driver.SECOND);
-			assertThat(driver.attemptsOf(request)).isEqualTo(2);
+			driver.endAttempt(driver.lastAttemptOf(request), AttemptOutcome.REFUSED);
+			driver.advance(Driver.SECOND);
+			assertThat(driver.attemptCount(request)).isEqualTo(2);
 		}
 
 		// The same, but the connection was lost and the request may have run. The caller
 		// gets its answer at once and not at its deadline.
 		@Test
-		void lostRequestIsGivenUpAtOnce() {
+		void lostRequestFailsImmediately() {
 			Driver driver = new Driver("tiered", 1, 8);
 			long request = driver.arrive("broker");
-			driver.end(driver.attemptOf(request), AttemptOutcome.LOST);
+			driver.endAttempt(driver.lastAttemptOf(request), AttemptOutcome.LOST);
 			assertThat(driver.finished).containsEntry(request, ResultCode.RETRIES_EXHAUSTED);
 		}
 
--- a/core/src/test/java/org/acaciacourse/core/dispatch/SuspectsOfTwoEntriesTests.java
+++ b/core/src/test/java/org/acaciacourse/core/dispatch/SuspectsOfTwoEntriesTests.java
@@ -28,92 +28,92 @@
 
 	private static final long POISON = 666;
 
-	private static final long INNOCENT = 1;
+	private static final long HARMLESS = 1;
 
-	private final Driver poisoned = new Driver("tiered", 3, 4);
+	private final Driver poisonEntry = new Driver("tiered", 3, 4);
 
-	private final Driver other = new Driver("tiered", 3, 4);
+	private final Driver otherEntry = new Driver("tiered", 3, 4);
 
-	private final Map<Long, Integer> age = new HashMap<>();
+	private final Map<Long, Integer> attemptAges = new HashMap<>();
 
-	private final Set<Long> endedHere = new HashSet<>();
+	private final Set<Long> endedAtPoisonEntry = new HashSet<>();
 
-	private final Set<Long> endedThere = new HashSet<>();
+	private final Set<Long> endedAtOtherEntry = new HashSet<>();
 
-	private final List<News> onTheWay = new ArrayList<>();
+	private final List<CrashReport> reportsInTransit = new ArrayList<>();
 
-	private final Set<List<Number>> sent = new HashSet<>();
+	private final Set<List<Number>> publishedReports = new HashSet<>();
 
 	private int crashes;
 
-	private long innocent;
+	private long harmless;
 
-	private void play(int delayMillis) {
-		long poison = this.poisoned.arrive("broker", POISON, false);
-		this.innocent = this.other.arrive("broker", INNOCENT, false);
-		assertThat(this.other.last().endpoint()).isEqualTo(this.poisoned.last().endpoint());
+	private void simulate(int delayMillis) {
+		long poison = this.poisonEntry.arrive("broker", POISON, false);
+		this.harmless = this.otherEntry.arrive("broker", HARMLESS, false);
+		assertThat(this.otherEntry.lastAttempt().endpoint()).isEqualTo(this.poisonEntry.lastAttempt().endpoint());
 		for (int step = 0; step < STEPS; step++) {
-			crash(this.poisoned.attemptOf(poison));
-			answer();
-			publish(this.poisoned, step + delayMillis / STEP_MILLIS);
-			publish(this.other, step + delayMillis / STEP_MILLIS);
+			crash(this.poisonEntry.lastAttemptOf(poison));
+			completeOldAttempts();
+			publish(this.poisonEntry, step + delayMillis / STEP_MILLIS);
+			publish(this.otherEntry, step + delayMillis / STEP_MILLIS);
 			deliver(step);
-			this.poisoned.pass(STEP_MILLIS * 1_000_000L);
-			this.other.pass(STEP_MILLIS * 1_000_000L);
+			this.poisonEntry.advance(STEP_MILLIS * 1_000_000L);
+			this.otherEntry.advance(STEP_MILLIS * 1_000_000L);
 		}
 	}
 
 	// The endpoint that runs the poison crashes, with all that it runs.
 	private void crash(Attempt attempt) {
-		if (!this.endedHere.add(attempt.id())) {
+		if (!this.endedAtPoisonEntry.add(attempt.id())) {
 			return;
 		}
 		this.crashes++;
-		this.poisoned.end(attempt, AttemptOutcome.CRASHED);
-		List.copyOf(this.other.attempts)
+		this.poisonEntry.endAttempt(attempt, AttemptOutcome.CRASHED);
+		List.copyOf(this.otherEntry.attempts)
 			.stream()
-			.filter((beside) -> beside.endpoint().equals(attempt.endpoint()) && this.endedThere.add(beside.id()))
-			.forEach((beside) -> this.other.end(beside, AttemptOutcome.CRASHED));
+			.filter((beside) -> beside.endpoint().equals(attempt.endpoint()) && this.endedAtOtherEntry.add(beside.id()))
+			.forEach((beside) -> this.otherEntry.endAttempt(beside, AttemptOutcome.CRASHED));
 	}
 
-	private void answer() {
-		for (Attempt attempt : List.copyOf(this.other.attempts)) {
-			boolean done = this.age.merge(attempt.id(), 1, Integer::sum) > ANSWER_STEPS;
-			if (done && this.endedThere.add(attempt.id())) {
-				this.other.end(attempt, AttemptOutcome.COMPLETE);
+	private void completeOldAttempts() {
+		for (Attempt attempt : List.copyOf(this.otherEntry.attempts)) {
+			boolean done = this.attemptAges.merge(attempt.id(), 1, Integer::sum) > ANSWER_STEPS;
+			if (done && this.endedAtOtherEntry.add(attempt.id())) {
+				this.otherEntry.endAttempt(attempt, AttemptOutcome.COMPLETE);
 			}
 		}
 	}
 
 	// Control tells all VMs, the sender as well.
 	private void publish(Driver from, int arrivesAt) {
-		from.suspects.forEach((content, proven) -> {
-			if (this.sent.add(List.of(content, proven))) {
-				this.onTheWay.add(new News(this.poisoned, content, proven, arrivesAt));
-				this.onTheWay.add(new News(this.other, content, proven, arrivesAt));
+		from.publishedSuspects.forEach((content, proven) -> {
+			if (this.publishedReports.add(List.of(content, proven))) {
+				this.reportsInTransit.add(new CrashReport(this.poisonEntry, content, proven, arrivesAt));
+				this.reportsInTransit.add(new CrashReport(this.otherEntry, content, proven, arrivesAt));
 			}
 		});
 	}
 
 	private void deliver(int step) {
-		for (News news : List.copyOf(this.onTheWay)) {
-			if (news.arrivesAt() <= step) {
-				this.onTheWay.remove(news);
-				news.to().dispatcher.suspect(news.content(), news.crashes(), news.to().now);
+		for (CrashReport report : List.copyOf(this.reportsInTransit)) {
+			if (report.arrivesAt() <= step) {
+				this.reportsInTransit.remove(report);
+				report.to().dispatcher.suspect(report.content(), report.crashes(), report.to().now);
 			}
 		}
 	}
 
-	private void assertOnlyThePoisonIsRefused() {
-		assertThat(this.poisoned.finished.values()).containsExactly(ResultCode.CRASHING_CONTENT);
+	private void assertOnlyPoisonIsRefused() {
+		assertThat(this.poisonEntry.finished.values()).containsExactly(ResultCode.CRASHING_CONTENT);
 		assertThat(this.crashes).isEqualTo(2);
-		assertThat(this.other.finished).doesNotContainKey(this.innocent);
+		assertThat(this.otherEntry.finished).doesNotContainKey(this.harmless);
 	}
 
 	@Test
-	void onlyThePoisonIsRefusedWhereNewsTakesLessThanASecond() {
-		play(600);
-		assertOnlyThePoisonIsRefused();
+	void onlyPoisonIsRefusedWithFastReports() {
+		simulate(600);
+		assertOnlyPoisonIsRefused();
 	}
 
 	/*
@@ -122,12 +122,12 @@
 	 * told that its content crashes endpoints.
 	 */
 	@Test
-	void onlyThePoisonIsRefusedWhereNewsTakesLonger() {
-		play(1_500);
-		assertOnlyThePoisonIsRefused();
+	void onlyPoisonIsRefusedWithSlowReports() {
+		simulate(1_500);
+		assertOnlyPoisonIsRefused();
 	}
 
-	private record News(Driver to, long content, int crashes, int arrivesAt) {
+	private record CrashReport(Driver to, long content, int crashes, int arrivesAt) {
 	}
 
 }
--- a/core/src/test/java/org/acaciacourse/core/dispatch/queue/FairQueueTests.java
+++ b/core/src/test/java/org/acaciacourse/core/dispatch/queue/FairQueueTests.java
@@ -23,7 +23,7 @@
 	}
 
 	@Test
-	void takesTurnsWhateverAFlowSends() {
+	void alternatesFlowsRegardlessOfTheirLoad() {
 		for (int i = 0; i < 100; i++) {
 			this.queue.add("a", "a" + i);
 		}
@@ -33,7 +33,7 @@
 	}
 
 	@Test
-	void anIdleFlowSavesNothingUp() {
+	void idleFlowAccumulatesNoCredit() {
 		this.queue.add("a", "a0");
 		serve(50);
 		this.queue.add("b", "b0");
@@ -50,14 +50,14 @@
 			fair.add("a", "a" + i);
 			fair.add("b", "b" + i);
 		}
-		int ofA = 0;
+		int servedOfA = 0;
 		for (int i = 0; i < 900; i++) {
 			String item = fair.oldest().get();
-			boolean a = item.startsWith("a");
-			ofA += (a) ? 1 : 0;
-			fair.serve(item.substring(0, 1), item, (a) ? 1.0 / weight : 1);
+			boolean isFlowA = item.startsWith("a");
+			servedOfA += (isFlowA) ? 1 : 0;
+			fair.serve(item.substring(0, 1), item, (isFlowA) ? 1.0 / weight : 1);
 		}
-		assertThat((double) ofA).isWithin(2).of(900.0 * weight / (weight + 1));
+		assertThat((double) servedOfA).isWithin(2).of(900.0 * weight / (weight + 1));
 	}
 
 }
--- a/core/src/test/java/org/acaciacourse/core/dispatch/suspect/SuspectTableTests.java
+++ b/core/src/test/java/org/acaciacourse/core/dispatch/suspect/SuspectTableTests.java
@@ -14,24 +14,24 @@
 	private final SuspectTable table = new SuspectTable();
 
 	@Test
-	void aWholeAnswerClears() {
-		this.table.note(1, 1, true, 0);
-		this.table.note(1, 0, false, SECOND);
+	void completeAnswerClearsSuspicion() {
+		this.table.record(1, 1, true, 0);
+		this.table.record(1, 0, false, SECOND);
 		assertThat(this.table.crashes(1, SECOND)).isEqualTo(0);
-		assertThat(this.table.hasActive(SECOND)).isFalse();
+		assertThat(this.table.hasActiveSuspect(SECOND)).isFalse();
 	}
 
 	@Test
-	void aConvictionIsNotTakenBackByAnOldSuspicion() {
-		this.table.note(1, 2, false, 0);
-		this.table.note(1, 1, false, SECOND);
+	void blockedContentStaysBlockedAfterLateReport() {
+		this.table.record(1, 2, false, 0);
+		this.table.record(1, 1, false, SECOND);
 		assertThat(this.table.crashes(1, SECOND)).isEqualTo(SuspectTable.CONVICTION);
 	}
 
 	@Test
-	void allVmsTrySuspectsInTheSameOrder() {
+	void allVmsOrderSuspectsByHash() {
 		for (long content = 1; content <= 4; content++) {
-			this.table.note(content, 1, content == 2, 0);
+			this.table.record(content, 1, content == 2, 0);
 		}
 		assertThat(this.table.rank(1, 2, SECOND)).isEqualTo(0);
 		assertThat(this.table.rank(2, 2, SECOND)).isEqualTo(0);
@@ -39,12 +39,13 @@
 	}
 
 	@Test
-	void anotherVmWaitsForTheVerdict() {
-		this.table.note(1, 1, false, 0);
-		this.table.note(2, 1, true, 0);
-		assertThat(this.table.trialFrom(1, 15 * SECOND, SECOND)).isEqualTo(15 * SECOND);
-		this.table.note(2, 1, false, SECOND / 2);
-		assertThat(this.table.trialFrom(2, 15 * SECOND, SECOND)).isEqualTo(SECOND / 2 + SuspectTable.SETTLE_NANOS);
+	void otherVmWaitsForResultOfFirstVm() {
+		this.table.record(1, 1, false, 0);
+		this.table.record(2, 1, true, 0);
+		assertThat(this.table.isolatedAttemptAllowedAt(1, 15 * SECOND, SECOND)).isEqualTo(15 * SECOND);
+		this.table.record(2, 1, false, SECOND / 2);
+		assertThat(this.table.isolatedAttemptAllowedAt(2, 15 * SECOND, SECOND))
+			.isEqualTo(SECOND / 2 + SuspectTable.REPORT_PROPAGATION_NANOS);
 	}
 
 	/*
@@ -52,21 +53,23 @@
 	 * own one has not come back; without control a request must not wait for ever.
 	 */
 	@Test
-	void ownSuspectWaitsUntilItsReportCameBack() {
-		this.table.note(2, 1, true, 0);
-		assertThat(this.table.trialFrom(2, 15 * SECOND, SECOND)).isEqualTo(SuspectTable.UNCONFIRMED_NANOS);
-		this.table.note(2, 1, false, 3 * SECOND);
-		assertThat(this.table.trialFrom(2, 15 * SECOND, 3 * SECOND)).isEqualTo(3 * SECOND + SuspectTable.SETTLE_NANOS);
+	void ownSuspectWaitsForConfirmationOfItsReport() {
+		this.table.record(2, 1, true, 0);
+		assertThat(this.table.isolatedAttemptAllowedAt(2, 15 * SECOND, SECOND))
+			.isEqualTo(SuspectTable.CONFIRMATION_TIMEOUT_NANOS);
+		this.table.record(2, 1, false, 3 * SECOND);
+		assertThat(this.table.isolatedAttemptAllowedAt(2, 15 * SECOND, 3 * SECOND))
+			.isEqualTo(3 * SECOND + SuspectTable.REPORT_PROPAGATION_NANOS);
 	}
 
 	@Test
-	void isBoundedAndForgets() {
-		for (long content = 0; content <= SuspectTable.LIMIT; content++) {
-			this.table.note(content, 2, true, 0);
+	void evictsOldestEntryAndExpires() {
+		for (long content = 0; content <= SuspectTable.MAX_ENTRIES; content++) {
+			this.table.record(content, 2, true, 0);
 		}
 		assertThat(this.table.crashes(0, 0)).isEqualTo(0);
 		assertThat(this.table.crashes(1, 0)).isEqualTo(2);
-		assertThat(this.table.crashes(1, SuspectTable.MEMORY_NANOS + 1)).isEqualTo(0);
+		assertThat(this.table.crashes(1, SuspectTable.RETENTION_NANOS + 1)).isEqualTo(0);
 	}
 
 }
