--- a/core/src/main/java/org/acaciacourse/core/dispatch/admission/CustomerLimit.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/admission/CustomerLimit.java
@@ -3,8 +3,8 @@
 import org.acaciacourse.core.model.Customer;
 
 /**
- * This VM's part of the limits of one customer: requests in flight and the rate, as a
- * token bucket that holds one second's worth.
+ * This VM's part of the limits of one customer: the number of requests in flight and the
+ * request rate, enforced by a token bucket that holds the tokens of one second.
  * <p>
  * Invariant: the number in flight never goes below 0.
  * <p>
@@ -27,9 +27,9 @@
 	private int inFlight;
 
 	/**
-	 * Take limits into force.
-	 * @param customer the customer with the limits of the whole system
-	 * @param entryCount how many VMs share them
+	 * Apply new limits.
+	 * @param customer the customer with its limits for the whole system
+	 * @param entryCount the number of VMs that share the limits
 	 */
 	public void configure(Customer customer, int entryCount) {
 		double rate = customer.requestsPerSecond() / entryCount;
@@ -40,7 +40,7 @@
 	}
 
 	/**
-	 * Take a place for a request if the limits permit it.
+	 * Count a new request if the limits permit it.
 	 * @param now the time
 	 * @return whether the request is within the limits
 	 */
@@ -55,15 +55,15 @@
 	}
 
 	/**
-	 * Give a place back.
+	 * Release the place of a request in flight.
 	 */
 	public void release() {
 		this.inFlight = Math.max(0, this.inFlight - 1);
 	}
 
 	/**
-	 * Return how long until the rate permits a request.
-	 * @return nanoseconds
+	 * Return the time until the rate permits another request.
+	 * @return the time in nanoseconds
 	 */
 	public long nanosToNext() {
 		return (long) (Math.max(0, 1 - this.tokens) / this.ratePerNano);
--- a/core/src/main/java/org/acaciacourse/core/dispatch/admission/package-info.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/admission/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Limits of customers.
+ * Customer limits.
  */
 package org.acaciacourse.core.dispatch.admission;
