--- a/core/src/main/java/org/acaciacourse/core/dispatch/learn/DecayingHistogram.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/learn/DecayingHistogram.java
@@ -3,19 +3,20 @@
 import java.util.Arrays;
 
 /**
- * The spread of a positive quantity, learnt with exponential forgetting: counts in
- * buckets whose bounds grow by a fixed factor. A quantile costs one pass over the buckets
- * and is accurate to the factor, which is enough for estimates of answers whose lengths
- * differ a hundredfold.
+ * A histogram of a positive quantity with exponential decay. The bounds of its buckets
+ * grow by a fixed factor. A quantile costs one pass over the buckets and is accurate to
+ * that factor, which is enough for estimates of answers whose lengths differ by a factor
+ * of a hundred.
  * <p>
- * Invariants: memory is fixed; until {@link #MIN_SAMPLES} values were seen the spread
- * says so and callers use a wider one.
+ * Invariants: memory is fixed; until {@link #MIN_SAMPLES} values were recorded,
+ * {@link #hasEnoughSamples} is false and callers use a broader histogram or a default
+ * value.
  * <p>
  * Not thread safe: owned by one dispatcher.
  */
 public final class DecayingHistogram {
 
-	/** How many values make the spread worth using. */
+	/** The number of values from which the histogram is usable. */
 	public static final int MIN_SAMPLES = 8;
 
 	private static final int BUCKETS = 64;
@@ -35,7 +36,7 @@
 	private long sampleCount;
 
 	/**
-	 * Learn a value.
+	 * Record a value.
 	 * @param value the value
 	 */
 	public void record(double value) {
@@ -49,8 +50,8 @@
 	}
 
 	/**
-	 * Return whether enough values were seen.
-	 * @return whether the spread may be used
+	 * Return whether enough values were recorded.
+	 * @return whether the histogram may be used
 	 */
 	public boolean hasEnoughSamples() {
 		return this.sampleCount >= MIN_SAMPLES;
@@ -58,7 +59,7 @@
 
 	/**
 	 * Return the mean.
-	 * @param defaultValue the value as long as too little is known
+	 * @param defaultValue the result while there are too few samples
 	 * @return the mean
 	 */
 	public double mean(double defaultValue) {
@@ -66,9 +67,9 @@
 	}
 
 	/**
-	 * Return a quantile, rounded down to the bound of its bucket.
-	 * @param fraction the share of values at or below it, 0 to 1
-	 * @param defaultValue the value as long as too little is known
+	 * Return a quantile, rounded down to the lower bound of its bucket.
+	 * @param fraction the fraction of values at or below the quantile, 0 to 1
+	 * @param defaultValue the result while there are too few samples
 	 * @return the quantile
 	 */
 	public double quantile(double fraction, double defaultValue) {
--- a/core/src/main/java/org/acaciacourse/core/dispatch/learn/MovingAverage.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/learn/MovingAverage.java
@@ -1,7 +1,7 @@
 package org.acaciacourse.core.dispatch.learn;
 
 /**
- * A moving average with exponential forgetting by count, which starts at the first value.
+ * An exponential moving average per sample, initialized by the first value.
  * <p>
  * Not thread safe: owned by one dispatcher.
  */
@@ -14,7 +14,7 @@
 	private boolean initialized;
 
 	/**
-	 * Create an average that knows nothing.
+	 * Create an average without a value.
 	 * @param gain the weight of a new value, 0 to 1
 	 */
 	public MovingAverage(double gain) {
@@ -22,7 +22,7 @@
 	}
 
 	/**
-	 * Learn a value.
+	 * Add a value.
 	 * @param next the value
 	 */
 	public void update(double next) {
@@ -31,17 +31,17 @@
 	}
 
 	/**
-	 * Pull the average towards a value, as if time had made it doubtful.
+	 * Move the average towards a value, for example because it is outdated.
 	 * @param target the value
-	 * @param share how far to go, 0 to 1
+	 * @param share the fraction of the distance to move, 0 to 1
 	 */
 	public void relaxTowards(double target, double share) {
 		this.value += share * (target - this.value);
 	}
 
 	/**
-	 * Return whether a value was learnt.
-	 * @return whether the average is known
+	 * Return whether there was any value.
+	 * @return whether the average is initialized
 	 */
 	public boolean isInitialized() {
 		return this.initialized;
@@ -49,7 +49,7 @@
 
 	/**
 	 * Return the average.
-	 * @param defaultValue the value if nothing was learnt
+	 * @param defaultValue the result if there was no value
 	 * @return the average
 	 */
 	public double get(double defaultValue) {
@@ -57,7 +57,7 @@
 	}
 
 	/**
-	 * Forget everything.
+	 * Discard all values.
 	 */
 	public void reset() {
 		this.initialized = false;
--- a/core/src/main/java/org/acaciacourse/core/dispatch/learn/package-info.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/learn/package-info.java
@@ -1,4 +1,4 @@
 /**
- * What is learnt from the traffic: output lengths and latencies.
+ * Statistics learned from the traffic: answer lengths and latencies.
  */
 package org.acaciacourse.core.dispatch.learn;
