--- a/core/src/main/java/org/acaciacourse/core/dispatch/queue/FairQueue.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/queue/FairQueue.java
@@ -9,15 +9,16 @@
 import java.util.function.Consumer;
 
 /**
- * Waiting items of several flows, served by start-time fair queueing (Goyal, Vin and
- * Cheng 1996): each flow that has items gets service in proportion to its weight,
- * whatever it sends, and a flow that was idle starts level with the others. It needs no
- * knowledge of the true cost on arrival beyond an estimate, and one step takes
- * logarithmic time in the number of flows.
+ * A queue of several flows, served by start-time fair queueing (Goyal, Vin and Cheng
+ * 1996): each flow with waiting items is served in proportion to its weight, regardless
+ * of how much it sends, and a flow that was idle starts level with the others. On arrival
+ * only an estimate of the cost is needed, and each operation takes logarithmic time in
+ * the number of flows.
  * <p>
- * Invariants: a flow is in the order if and only if it has items; start tags never fall
- * behind the virtual time. Idle flows that carry no debt are forgotten, so memory is
- * bounded by the items and by the flows served lately.
+ * Invariants: a flow is in {@link #order} if and only if it has items; the start tag of a
+ * flow that becomes active is not behind the virtual time. Idle flows that carry no debt
+ * are removed, so that memory is bounded by the number of items and of recently served
+ * flows.
  * <p>
  * Not thread safe: owned by one dispatcher.
  *
@@ -38,7 +39,7 @@
 
 	/**
 	 * Append an item to its flow.
-	 * @param flowName the flow
+	 * @param flowName the name of the flow
 	 * @param item the item
 	 */
 	public void add(String flowName, T item) {
@@ -48,8 +49,8 @@
 	}
 
 	/**
-	 * Put an item back before the others of its flow.
-	 * @param flowName the flow
+	 * Insert an item before the others of its flow.
+	 * @param flowName the name of the flow
 	 * @param item the item
 	 */
 	public void addFirst(String flowName, T item) {
@@ -60,7 +61,7 @@
 
 	/**
 	 * Return the oldest item of the flow that is served next.
-	 * @return the item, empty if nothing waits
+	 * @return the item, empty if the queue is empty
 	 */
 	public Optional<T> oldest() {
 		return (this.order.isEmpty()) ? Optional.empty() : Optional.of(this.order.first().items.getFirst());
@@ -68,15 +69,15 @@
 
 	/**
 	 * Return the newest item of the flow that is served next.
-	 * @return the item, empty if nothing waits
+	 * @return the item, empty if the queue is empty
 	 */
 	public Optional<T> newest() {
 		return (this.order.isEmpty()) ? Optional.empty() : Optional.of(this.order.first().items.getLast());
 	}
 
 	/**
-	 * Take an item out to serve it and charge its flow.
-	 * @param flowName the flow
+	 * Remove an item to serve it and charge its flow.
+	 * @param flowName the name of the flow
 	 * @param item the item, oldest or newest of its flow
 	 * @param charge the estimated cost divided by the weight of the flow
 	 */
@@ -90,10 +91,10 @@
 	}
 
 	/**
-	 * Remove an item that is not to be served.
-	 * @param flowName the flow
+	 * Remove an item without serving it.
+	 * @param flowName the name of the flow
 	 * @param item the item
-	 * @return whether it was there
+	 * @return whether the item was in the queue
 	 */
 	public boolean remove(String flowName, T item) {
 		Flow<T> flow = this.flows.get(flowName);
@@ -107,7 +108,7 @@
 	}
 
 	/**
-	 * Return how many items wait.
+	 * Return the number of waiting items.
 	 * @return the number of items
 	 */
 	public int size() {
@@ -115,8 +116,8 @@
 	}
 
 	/**
-	 * Return how many items of a flow wait.
-	 * @param flowName the flow
+	 * Return the number of waiting items of a flow.
+	 * @param flowName the name of the flow
 	 * @return the number of items
 	 */
 	public int sizeOf(String flowName) {
@@ -125,7 +126,7 @@
 	}
 
 	/**
-	 * Return how many flows have waiting items.
+	 * Return the number of flows with waiting items.
 	 * @return the number of flows
 	 */
 	public int flows() {
@@ -133,8 +134,8 @@
 	}
 
 	/**
-	 * Visit all waiting items.
-	 * @param action what to do with each
+	 * Call an action for each waiting item.
+	 * @param action the action
 	 */
 	public void forEach(Consumer<T> action) {
 		this.order.forEach((flow) -> flow.items.forEach(action));
@@ -168,7 +169,7 @@
 		return flow;
 	}
 
-	/** The items of one flow and the tag of the next of them. */
+	/** The items of one flow and the start tag of the first of them. */
 	private static final class Flow<T> {
 
 		private final String name;
--- a/core/src/main/java/org/acaciacourse/core/dispatch/queue/package-info.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/queue/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Order of waiting requests: fair shares among customers.
+ * Ordering of waiting requests with fair shares among customers.
  */
 package org.acaciacourse.core.dispatch.queue;
