--- a/core/src/main/java/org/acaciacourse/core/dispatch/retry/RetryBudget.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/retry/RetryBudget.java
@@ -1,12 +1,12 @@
 package org.acaciacourse.core.dispatch.retry;
 
 /**
- * A bucket that first attempts fill and retries empty. Retries are then at most a fixed
- * ratio of the first attempts beyond a small reserve: without it each failure under
- * overload adds load, which causes more failures, and the system does not recover after
- * the burst. The reserve covers one crashed endpoint.
+ * A retry budget: a bucket that requests fill and retries drain. It limits retries to a
+ * fixed ratio of the requests plus a small reserve, the capacity of the bucket. Without a
+ * limit each failure under overload adds load, which causes more failures, and the system
+ * does not recover after the burst. The reserve covers the crash of one endpoint.
  * <p>
- * Invariant: the balance is between 0 and the reserve.
+ * Invariant: the balance is between 0 and the capacity.
  * <p>
  * Not thread safe: owned by one dispatcher.
  */
@@ -20,8 +20,8 @@
 
 	/**
 	 * Create a full budget.
-	 * @param capacity how many retries are possible at once
-	 * @param ratio retries earned by a first attempt
+	 * @param capacity the maximum number of retries in a burst
+	 * @param ratio the number of retries added by each request
 	 */
 	public RetryBudget(double capacity, double ratio) {
 		this.capacity = capacity;
@@ -30,7 +30,7 @@
 	}
 
 	/**
-	 * Note a first attempt.
+	 * Add the part of a retry that one request earns.
 	 */
 	public void deposit() {
 		this.balance = Math.min(this.capacity, this.balance + this.ratio);
@@ -38,14 +38,14 @@
 
 	/**
 	 * Return whether a retry is within the budget.
-	 * @return whether one may be spent
+	 * @return whether a retry is permitted
 	 */
 	public boolean canWithdraw() {
 		return this.balance >= 1;
 	}
 
 	/**
-	 * Take one retry out of the budget.
+	 * Remove one retry from the budget.
 	 */
 	public void withdraw() {
 		this.balance = Math.max(0, this.balance - 1);
