--- a/core/src/main/java/org/acaciacourse/core/dispatch/suspect/SuspectTable.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/suspect/SuspectTable.java
@@ -6,34 +6,38 @@
 
 /**
  * Content that was running on endpoints that crashed, by the hash of customer and
- * content. One crash makes everything that ran there suspect, for nobody can tell which
- * of it was the cause. A suspect runs apart; a crash there is proof, and from the second
- * crash on the content is refused. A whole answer clears it.
+ * content. A single crash makes everything that ran there suspect, because the cause
+ * cannot be determined. A suspect is then run in isolation: a crash there proves that it
+ * was the cause, and from the second crash on the content is refused. A complete answer
+ * clears the suspicion.
  * <p>
- * Invariants: an entry has one or two crashes; at most {@link #MAX_ENTRIES} entries, the
- * oldest goes first; a conviction lapses after {@link #RETENTION_NANOS}, so that a wrong
- * one heals.
+ * Invariants: an entry has one or two crashes; there are at most {@link #MAX_ENTRIES}
+ * entries, the least recently updated is evicted first; a block expires after
+ * {@link #RETENTION_NANOS}, so that a wrong one is not permanent.
  * <p>
  * Not thread safe: owned by one dispatcher.
  */
 public final class SuspectTable {
 
-	/** How many crashes convict. */
+	/** The number of crashes from which content is refused. */
 	public static final int CONVICTION = 2;
 
-	/** The most entries. */
+	/** The maximum number of entries. */
 	public static final int MAX_ENTRIES = 4_096;
 
-	/** How long an entry is kept. */
+	/** How long an entry is kept after its last update, in nanoseconds. */
 	public static final long RETENTION_NANOS = 3_600_000_000_000L;
 
 	/**
-	 * In which the reports of all VMs come by way of control, from when the own one came
-	 * back.
+	 * The time within which the reports of all VMs arrive through the control plane, from
+	 * the return of this VM's own report.
 	 */
 	static final long REPORT_PROPAGATION_NANOS = 1_000_000_000L;
 
-	/** How long the own report is waited for: control may be lost. */
+	/**
+	 * The longest wait for the return of this VM's own report, as the control plane may
+	 * be down.
+	 */
 	static final long CONFIRMATION_TIMEOUT_NANOS = 5_000_000_000L;
 
 	private static final long ACTIVE_WINDOW_NANOS = 20_000_000_000L;
@@ -43,11 +47,11 @@
 	private long lastReportAt = Long.MIN_VALUE / 2;
 
 	/**
-	 * Note how many crashes a content had part in.
+	 * Record the number of crashes attributed to a content.
 	 * @param contentHash the hash of customer and content
-	 * @param crashes how many crashes, 0 clears it
-	 * @param local whether this VM ran it, so that it is this VM's task to try it again;
-	 * false also for its own report that comes back from control
+	 * @param crashes the number of crashes, 0 clears the suspicion
+	 * @param local whether this VM ran it, so that it is up to this VM to run it in
+	 * isolation; false also for its own report returned by the control plane
 	 * @param now the time
 	 */
 	public void record(long contentHash, int crashes, boolean local, long now) {
@@ -67,10 +71,10 @@
 	}
 
 	/**
-	 * Return how many crashes a content had part in.
+	 * Return the number of crashes attributed to a content.
 	 * @param contentHash the hash of customer and content
 	 * @param now the time
-	 * @return 0 to {@link #CONVICTION}
+	 * @return the number of crashes, 0 to {@link #CONVICTION}
 	 */
 	public int crashes(long contentHash, long now) {
 		Entry entry = find(contentHash, now);
@@ -78,14 +82,14 @@
 	}
 
 	/**
-	 * Return how many suspects are on trial or wait for it before a content. All VMs hear
-	 * of the same suspects and order them by their hash, so that they try them in turn
-	 * without a word between them: two at once on one endpoint would make each look
-	 * guilty of the other's crash.
+	 * Return how many active suspects come before a content. All VMs receive the same
+	 * suspects and order them by hash, so that they run them one after the other without
+	 * communicating: two at once on one endpoint would each be blamed for the crash of
+	 * the other.
 	 * @param contentHash the hash of customer and content
-	 * @param endpointCount how many endpoints try suspects side by side
+	 * @param endpointCount the number of isolation endpoints
 	 * @param now the time
-	 * @return the number of suspects before it at its place
+	 * @return the number of suspects before it at the same isolation endpoint
 	 */
 	public int rank(long contentHash, int endpointCount, long now) {
 		int rank = 0;
@@ -99,7 +103,7 @@
 	}
 
 	/**
-	 * Return whether any content is on trial or waits for it.
+	 * Return whether any suspect runs or waits for an isolated attempt.
 	 * @param now the time
 	 * @return whether there is an active suspect
 	 */
@@ -113,13 +117,14 @@
 	}
 
 	/**
-	 * Return when this VM may try a suspect. If it ran here, once its report came back
-	 * from control and the VMs had time to hear of each other's suspects: a trial that
-	 * began before could meet another VM's suspect at the same endpoint, and a crash
-	 * would convict both. Otherwise only after the VM that ran it had time to come to a
-	 * verdict. Two VMs that try it at the same time would lose two more endpoints.
+	 * Return when this VM may run a suspect in isolation. If the suspect ran on this VM,
+	 * this is once the VM's own report has returned from the control plane and the VMs
+	 * have had time to receive each other's suspects: an earlier attempt could meet a
+	 * suspect of another VM at the same endpoint, and a crash would block both. Otherwise
+	 * it is after the VM that ran the suspect has had time to determine the result. Two
+	 * VMs that run it at the same time would lose two more endpoints.
 	 * @param contentHash the hash of customer and content
-	 * @param remoteDelayNanos how long to wait for the verdict of another VM
+	 * @param remoteDelayNanos how long to wait for the result of another VM
 	 * @param now the time
 	 * @return the time
 	 */
--- a/core/src/main/java/org/acaciacourse/core/dispatch/suspect/package-info.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/suspect/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Content that may crash the endpoints that run it.
+ * Tracking of content that may crash the endpoints that run it.
  */
 package org.acaciacourse.core.dispatch.suspect;
--- a/core/src/test/java/org/acaciacourse/core/dispatch/suspect/SuspectTableTests.java
+++ b/core/src/test/java/org/acaciacourse/core/dispatch/suspect/SuspectTableTests.java
@@ -49,8 +49,9 @@
 	}
 
 	/*
-	 * Control is slow or lost. Reports of other VMs may be on their way as long as the
-	 * own one has not come back; without control a request must not wait for ever.
+	 * The control plane is slow or down. Until this VM's own report has returned, reports
+	 * of other VMs may still be in transit; without a control plane a request must not
+	 * wait forever.
 	 */
 	@Test
 	void ownSuspectWaitsForConfirmationOfItsReport() {
