--- a/core/src/main/java/org/acaciacourse/core/dispatch/ActiveAttempt.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/ActiveAttempt.java
@@ -1,7 +1,7 @@
 package org.acaciacourse.core.dispatch;
 
 /**
- * One attempt at an endpoint, from dispatch until its end is reported.
+ * An attempt at an endpoint, from its dispatch until its outcome is reported.
  * <p>
  * Not thread safe: owned by one dispatcher.
  */
@@ -15,20 +15,20 @@
 
 	final long sentAt;
 
-	/** Runs on the guaranteed share of the low tier and is not preempted. */
+	/** Uses the guaranteed share of the low tier and is never preempted. */
 	final boolean guaranteed;
 
-	/** Was sent beyond the slots of the endpoint. */
+	/** Sent although all slots of the endpoint were occupied. */
 	final boolean overcommitted;
 
-	/** Runs apart from other requests. */
+	/** Must not share its endpoint with other requests, as its content may crash it. */
 	final boolean isolated;
 
 	long lastTokenAt;
 
 	int tokens;
 
-	/** This VM asked for the cancellation. */
+	/** Whether this VM has requested the cancellation. */
 	boolean cancelled;
 
 	ActiveAttempt(long id, PendingRequest pending, EndpointView endpoint, long sentAt, boolean guaranteed,
--- a/core/src/main/java/org/acaciacourse/core/dispatch/Admission.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/Admission.java
@@ -7,13 +7,14 @@
 import org.acaciacourse.core.model.Tier;
 
 /**
- * Decides on arrival whether a request may wait at all.
+ * Decides on arrival whether a request is queued or refused.
  * <p>
- * Invariants: nothing is refused for lack of room while something of a lower tier waits
- * for the same endpoints: that one is shed first. A refusal for the target counts only
- * what goes before the request, with all preemptible work out of the way, so that lower
- * tiers are never its reason. A flow may use as much of the queue as is left free
- * (dynamic thresholds, Choudhury and Hahne 1998), so that one customer cannot fill it.
+ * Invariants: no request is refused for a full queue while a request of a lower tier
+ * waits for the same endpoint set: the lower one is shed first. The check against the
+ * latency target counts only the requests that are served before this one and treats
+ * preemptible work as gone, so that lower tiers never cause such a refusal. A flow may
+ * hold at most as many waiting requests as the queue has free places (dynamic thresholds,
+ * Choudhury and Hahne 1998), so that one customer cannot fill it.
  * <p>
  * Not thread safe: owned by one dispatcher.
  */
@@ -30,11 +31,11 @@
 	}
 
 	/**
-	 * Return the refusal of a request that cannot be admitted.
-	 * @param pending the request, not yet in a line
-	 * @param queue the line it would wait in
+	 * Check whether a request can be admitted.
+	 * @param pending the request, not yet queued
+	 * @param queue the queue that it would wait in
 	 * @param now the time
-	 * @return the reason and the time to come back, empty if it is admitted
+	 * @return the refusal, empty if the request is admitted
 	 */
 	Optional<Refusal> check(PendingRequest pending, PolicyQueue queue, long now) {
 		if (this.state.suspects.crashes(pending.info.contentHash(), now) >= SuspectTable.CONVICTION) {
@@ -63,8 +64,8 @@
 		return Optional.empty();
 	}
 
-	// Estimate the wait for an endpoint by Little's law: what waits before the request,
-	// times the mean time that one takes, over the requests that run side by side.
+	// Estimates the queueing time by Little's law: the number of requests ahead, times
+	// their mean duration, divided by the number that run concurrently.
 	long expectedWait(PendingRequest pending, PolicyQueue queue, long now) {
 		int ahead = queue.aheadOf(pending);
 		if (ahead == 0) {
@@ -101,7 +102,8 @@
 		return true;
 	}
 
-	// The lowest tier is shed first, and of it the one that has waited least.
+	// The lowest tier is shed first, and within a tier the latest arrival that was never
+	// dispatched.
 	private static boolean isShedBefore(PendingRequest candidate, PendingRequest other) {
 		if (other == null || other.requestClass.tier().outranks(candidate.requestClass.tier())) {
 			return true;
@@ -111,10 +113,11 @@
 	}
 
 	/**
-	 * Why a request is not admitted.
+	 * The refusal of a request.
 	 *
 	 * @param code the reason
-	 * @param waitNanos the expected wait, from which the time to come back is made
+	 * @param waitNanos the expected wait in nanoseconds, from which the retry-after time
+	 * is derived
 	 */
 	record Refusal(ResultCode code, long waitNanos) {
 
--- a/core/src/main/java/org/acaciacourse/core/dispatch/AttemptOutcome.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/AttemptOutcome.java
@@ -1,31 +1,34 @@
 package org.acaciacourse.core.dispatch;
 
 /**
- * How an attempt at an endpoint ended.
+ * The outcome of an attempt at an endpoint.
  * <p>
  * Immutable and thread safe.
  */
 public enum AttemptOutcome {
 
-	/** The whole answer was received. */
+	/** The complete answer was received. */
 	COMPLETE(false),
 
 	/** The connection could not be opened; no byte was sent. */
 	NOT_SENT(true),
 
-	/** The endpoint said that it did not run the request (overload, draining). */
+	/** The endpoint reported that it did not run the request (overload or draining). */
 	REFUSED(true),
 
-	/** The endpoint answered with an error of the request itself; a repeat is useless. */
+	/**
+	 * The endpoint answered with an error caused by the request itself; a retry would
+	 * fail too.
+	 */
 	REJECTED(false),
 
-	/** The connection broke before the end of the answer. */
+	/** The connection broke before the answer was complete. */
 	LOST(true),
 
-	/** No progress within the bound. */
+	/** The endpoint made no progress within the time limit. */
 	SILENT(true),
 
-	/** The endpoint process crashed while it ran the request. */
+	/** The endpoint process crashed while running the request. */
 	CRASHED(true),
 
 	/** This VM cancelled the attempt. */
@@ -38,16 +41,17 @@
 	}
 
 	/**
-	 * Return whether another attempt elsewhere may help.
-	 * @return whether a retry makes sense, budget and repeatability aside
+	 * Return whether an attempt at another endpoint may succeed.
+	 * @return whether a retry makes sense, regardless of retry budgets and of whether the
+	 * request may be repeated
 	 */
 	public boolean isRetryable() {
 		return this.retryable;
 	}
 
 	/**
-	 * Return whether the outcome speaks against the endpoint.
-	 * @return whether the endpoint is to be distrusted
+	 * Return whether the outcome indicates a fault of the endpoint.
+	 * @return whether the outcome counts as a failure of the endpoint
 	 */
 	public boolean isEndpointFailure() {
 		return this == NOT_SENT || this == LOST || this == SILENT || this == CRASHED;
--- a/core/src/main/java/org/acaciacourse/core/dispatch/AttemptTable.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/AttemptTable.java
@@ -3,9 +3,10 @@
 import java.util.Arrays;
 
 /**
- * The current runs by the number of their attempt. The low bits of the number are the
- * place in the table, so that the lookup for each token allocates nothing; the high bits
- * differ at each use of a place, so that a late event of an old attempt finds nothing.
+ * The active attempts by id. The low bits of an id are the index in the table, so that
+ * the lookup for each token allocates nothing. The high bits are a generation number that
+ * differs for each use of an index, so that a late event of an ended attempt finds no
+ * entry.
  * <p>
  * Not thread safe: owned by one dispatcher.
  */
@@ -26,8 +27,8 @@
 	private long generation;
 
 	/**
-	 * Take a place and return the number for the next run.
-	 * @return the number, positive and unique
+	 * Return an id for the next attempt. Its index is taken when the attempt is added.
+	 * @return the id, positive and unique
 	 */
 	long nextId() {
 		int index = (this.freeCount > 0) ? this.freeIndices[this.freeCount - 1] : this.allocatedIndices;
--- a/core/src/main/java/org/acaciacourse/core/dispatch/DispatchActions.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/DispatchActions.java
@@ -6,7 +6,7 @@
 import org.acaciacourse.core.code.ResultCode;
 
 /**
- * What a {@link Dispatcher} wants done.
+ * The actions that a {@link Dispatcher} requests from its environment.
  * <p>
  * Implementations are called on the dispatcher's thread and must not call back into it.
  */
@@ -14,55 +14,58 @@
 
 	/**
 	 * Send a request to an endpoint.
-	 * @param attempt the attempt to make
+	 * @param attempt the attempt to start
 	 */
 	void dispatch(Attempt attempt);
 
 	/**
-	 * Cancel an attempt at its endpoint. {@link AttemptOutcome#CANCELLED} follows.
-	 * @param attemptId the attempt
+	 * Cancel an attempt at its endpoint. The dispatcher expects
+	 * {@link AttemptOutcome#CANCELLED} for it afterwards.
+	 * @param attemptId the id of the attempt
 	 */
 	void cancel(long attemptId);
 
 	/**
-	 * Give the caller its final answer at once: the request is refused or given up.
-	 * @param requestId the request
+	 * Send the caller its final answer: the request is refused or has failed.
+	 * @param requestId the id of the request
 	 * @param code the reason
-	 * @param retryAfter when to come back, if that makes sense
+	 * @param retryAfter when to retry, empty if a retry is pointless
 	 */
 	void finish(long requestId, ResultCode code, Optional<Duration> retryAfter);
 
 	/**
-	 * Tell what the refusal of a request went by whose target is out of reach.
+	 * Report the estimate behind the refusal of a request whose target is unreachable.
 	 * {@link #finish} follows.
-	 * @param requestId the request
-	 * @param estimate what was known
+	 * @param requestId the id of the request
+	 * @param estimate the inputs of the decision
 	 */
 	default void unreachable(long requestId, TargetEstimate estimate) {
 	}
 
 	/**
-	 * Tell all VMs about content that was running on an endpoint that crashed.
+	 * Report content that was running on a crashed endpoint to all VMs.
 	 * @param contentHash the hash of the customer and the content
-	 * @param crashes how many crashes it is proven to have caused; 0 clears a suspicion
+	 * @param crashes the number of crashes attributed to the content; 0 clears a
+	 * suspicion
 	 */
 	void publishSuspect(long contentHash, int crashes);
 
 	/**
-	 * Ask for a call of {@link Dispatcher#tick} at the latest at a time.
+	 * Request a call of {@link Dispatcher#tick} no later than the given time.
 	 * @param nanos the time
 	 */
 	void wakeAt(long nanos);
 
 	/**
-	 * An attempt to make.
+	 * An attempt to send.
 	 *
-	 * @param id the number of the attempt, unique on this VM
-	 * @param requestId the request
+	 * @param id the id of the attempt, unique on this VM
+	 * @param requestId the id of the request
 	 * @param endpoint the name of the endpoint
-	 * @param enginePriority the priority for the engine; a smaller number runs first
-	 * @param resumeAt how many tokens of the answer the caller has already; the attempt
-	 * goes on after them
+	 * @param enginePriority the priority passed to the engine; a smaller number runs
+	 * first
+	 * @param resumeAt the number of answer tokens that the caller already has; the
+	 * attempt continues after them
 	 * @param policy the name of the policy that decided
 	 */
 	record Attempt(long id, long requestId, String endpoint, int enginePriority, int resumeAt, String policy) {
--- a/core/src/main/java/org/acaciacourse/core/dispatch/DispatchState.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/DispatchState.java
@@ -16,11 +16,11 @@
 import org.acaciacourse.core.model.Manifest;
 
 /**
- * What the parts of a dispatcher share: requests, runs, endpoints and the manifest in
- * force.
+ * State shared by the parts of a dispatcher: requests, attempts, endpoints and the
+ * manifest in force.
  * <p>
- * Invariants: a request is known by its request number exactly until its final answer;
- * each known request is in {@link #dueRequests}.
+ * Invariants: a request is registered under its id until its final answer and no longer;
+ * each registered request is in {@link #dueRequests}.
  * <p>
  * Not thread safe: owned by one dispatcher.
  */
@@ -60,7 +60,7 @@
 
 	int entryCount = 1;
 
-	/** The place of this VM among the entry VMs, -1 if unknown. */
+	/** The index of this VM among the entry VMs, -1 if unknown. */
 	int entryIndex = -1;
 
 	final FreeSlotAllocator slotAllocator = new FreeSlotAllocator(this);
@@ -79,7 +79,7 @@
 				(name) -> new RetryBudget(RETRY_BUDGET_CAPACITY, RETRY_BUDGET_RATIO));
 	}
 
-	// Return a factor around 1 that keeps VMs and retries from moving in step.
+	// Returns a random factor around 1 that keeps VMs and retries from synchronizing.
 	double jitter() {
 		return 0.5 + this.random.nextDouble();
 	}
@@ -90,7 +90,7 @@
 		this.dueRequests.add(pending);
 	}
 
-	// Forget a request that has its final answer.
+	// Removes a request that has its final answer.
 	void close(PendingRequest pending) {
 		pending.state = PendingRequest.State.DONE;
 		this.requests.remove(pending.info.id());
@@ -98,7 +98,7 @@
 		pending.limit.release();
 	}
 
-	// Give a request its final answer, wherever it is.
+	// Sends a request its final answer, whether it waits or runs.
 	void finish(PendingRequest pending, ResultCode code, long waitNanos) {
 		if (pending.isDone()) {
 			return;
@@ -111,7 +111,7 @@
 		this.actions.finish(pending.info.id(), code, retryAfter(code, waitNanos));
 	}
 
-	// Refuse a request whose target is out of reach.
+	// Refuses a waiting request whose target can no longer be met.
 	void refuseUnreachable(PendingRequest pending, long now) {
 		reportUnreachable(pending, pending.queue, 0, pending.endpointSet.minServiceTime(pending), now);
 		blockLowerLanes(pending, pending.queue, now);
@@ -133,13 +133,13 @@
 						(long) pending.endpointSet.meanDuration(pending.info.requestClass())));
 	}
 
-	// Keep the place of a refused request from lower ones.
+	// Keeps lower lanes from using the capacity that a refused request was denied.
 	void blockLowerLanes(PendingRequest pending, PolicyQueue queue, long now) {
 		int lane = queue.behaviour.lane(pending.requestClass.tier());
 		pending.endpointSet.blockLanesBelow(lane, Math.min(pending.targetAt, now + MAX_LANE_BLOCK_NANOS));
 	}
 
-	// Cancel the run of a request that needs no answer of it any more.
+	// Cancels the active attempt of a request, if any.
 	void cancelAttempt(PendingRequest pending) {
 		if (pending.attempt != null && !pending.attempt.cancelled) {
 			pending.attempt.cancelled = true;
--- a/core/src/main/java/org/acaciacourse/core/dispatch/Dispatcher.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/Dispatcher.java
@@ -3,44 +3,43 @@
 import org.acaciacourse.core.model.Manifest;
 
 /**
- * The decisions of one entry VM: admission, order, choice of endpoint, preemption, retry,
- * hedge and refusal. Events and the time come in as calls, actions go out through
- * {@link DispatchActions}; there is no I/O, thread or clock inside, so that a daemon and
- * a bench drive the same code. Times are nanoseconds on one monotonic clock and never go
- * back.
+ * The scheduling decisions of one entry VM: admission, ordering, endpoint selection,
+ * preemption, retry, hedging and refusal. Events and the current time are passed in as
+ * calls, actions are returned through {@link DispatchActions}. The dispatcher itself does
+ * no I/O and uses no thread or clock, so that the daemon and the benchmarks run the same
+ * code. Times are nanoseconds of one monotonic clock and never decrease.
  * <p>
- * Not thread safe: one thread calls it, and actions are called on that thread before the
- * event returns.
+ * Not thread safe: all methods are called by one thread, and actions are called on that
+ * thread before the event method returns.
  */
 public interface Dispatcher {
 
 	/**
-	 * Take a manifest into force. New decisions follow it at once; running requests go
-	 * on.
+	 * Apply a manifest. New decisions use it immediately; running requests continue.
 	 * @param manifest the manifest
 	 * @param now the time
 	 */
 	void configure(Manifest manifest, long now);
 
 	/**
-	 * Take note of how many entry VMs share the traffic and the limits of customers. Does
-	 * nothing for a dispatcher that keeps no limits.
-	 * @param count the number of VMs, this one included
+	 * Set the number of entry VMs that share the traffic and the customer limits. Does
+	 * nothing for a dispatcher that enforces no limits.
+	 * @param count the number of VMs, including this one
 	 * @param now the time
 	 */
 	default void entryCount(int count, long now) {
 	}
 
 	/**
-	 * Take note of what membership says of an endpoint.
+	 * Handle a status change of an endpoint reported by membership.
 	 * @param endpoint the name of the endpoint
-	 * @param status its status
+	 * @param status the new status
 	 * @param now the time
 	 */
 	void endpointStatus(String endpoint, EndpointStatus status, long now);
 
 	/**
-	 * Take note of a load report.
+	 * Handle a load report of an endpoint.
 	 * @param endpoint the name of the endpoint
 	 * @param report the report
 	 * @param now the time
@@ -48,63 +47,64 @@
 	void loadReport(String endpoint, LoadReport report, long now);
 
 	/**
-	 * Take note that an endpoint holds a prompt prefix in its cache, or dropped it. A
-	 * hint only: such events are late and have gaps.
+	 * Handle the report that an endpoint has cached or evicted a prompt prefix. This is
+	 * only a hint: such events are delayed and may be missing.
 	 * @param endpoint the name of the endpoint
 	 * @param prefixHash the hash of the prefix
-	 * @param held whether the endpoint holds it
+	 * @param held whether the endpoint has the prefix in its cache
 	 * @param now the time
 	 */
 	void prefixEvent(String endpoint, long prefixHash, boolean held, long now);
 
 	/**
-	 * Take a new request. Exactly one {@link DispatchActions#finish} or one
-	 * {@link AttemptOutcome#COMPLETE} ends it.
-	 * @param request what is known of the request
+	 * Handle a new request. It ends with exactly one {@link DispatchActions#finish} or
+	 * one {@link AttemptOutcome#COMPLETE}.
+	 * @param request the properties of the request
 	 * @param now the time
 	 */
 	void arrive(RequestInfo request, long now);
 
 	/**
-	 * The caller of a request went away; its attempts are cancelled.
-	 * @param requestId the request
+	 * Handle the disconnect of a caller; the attempts of its request are cancelled.
+	 * @param requestId the id of the request
 	 * @param now the time
 	 */
 	void callerGone(long requestId, long now);
 
 	/**
-	 * Tokens of an attempt arrived; the first call tells of the first token.
-	 * @param attemptId the attempt
-	 * @param count how many tokens
+	 * Handle received answer tokens; the first call for an attempt marks its first token.
+	 * @param attemptId the id of the attempt
+	 * @param count the number of tokens received
 	 * @param now the time
 	 */
 	void tokens(long attemptId, int count, long now);
 
 	/**
-	 * An attempt ended.
-	 * @param attemptId the attempt
-	 * @param outcome how it ended
+	 * Handle the end of an attempt.
+	 * @param attemptId the id of the attempt
+	 * @param outcome the outcome
 	 * @param now the time
 	 */
 	void ended(long attemptId, AttemptOutcome outcome, long now);
 
 	/**
-	 * Another VM tells of content that was running on an endpoint that crashed.
+	 * Handle a report about content that was running on a crashed endpoint.
 	 * @param contentHash the hash of the customer and the content
-	 * @param crashes how many crashes it is proven to have caused; 0 clears a suspicion
+	 * @param crashes the number of crashes attributed to the content; 0 clears a
+	 * suspicion
 	 * @param now the time
 	 */
 	void suspect(long contentHash, int crashes, long now);
 
 	/**
-	 * The VM stops: new requests are refused, the others are finished.
+	 * Start to shut down: new requests are refused, open requests are completed.
 	 * @param now the time
 	 */
 	void drain(long now);
 
 	/**
-	 * Let time pass: deadlines, retries with backoff, probes and aging are handled.
-	 * Called at the latest when {@link DispatchActions#wakeAt} said.
+	 * Handle everything that is due: deadlines, retries with backoff, probes and ageing.
+	 * Called no later than the time passed to {@link DispatchActions#wakeAt}.
 	 * @param now the time
 	 */
 	void tick(long now);
--- a/core/src/main/java/org/acaciacourse/core/dispatch/EndpointSelector.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/EndpointSelector.java
@@ -4,13 +4,14 @@
 import java.util.function.Predicate;
 
 /**
- * Chooses an endpoint. Among those with room it compares a few at random and takes the
- * cheapest (power of two choices, Mitzenmacher 2001): VMs that all took the one that
- * looks best by the same late report would move as a herd. All endpoints are looked at
- * for room, so that none is idle while a request waits.
+ * Selects an endpoint. Among the endpoints with free capacity it compares a few random
+ * ones and takes the cheapest (power of two choices, Mitzenmacher 2001): if all VMs took
+ * the apparently best endpoint of the same delayed load report, they would all pick the
+ * same one. Capacity is checked on all endpoints, so that none is idle while a request
+ * waits.
  * <p>
- * Not thread safe: owned by one dispatcher; the scratch array saves an allocation for
- * each decision.
+ * Not thread safe: owned by one dispatcher; the candidate array is reused to avoid an
+ * allocation per decision.
  */
 final class EndpointSelector {
 
@@ -23,11 +24,11 @@
 	}
 
 	/**
-	 * Find an endpoint for a request.
+	 * Select an endpoint for a request.
 	 * @param pending the request
 	 * @param overcommit how many requests beyond its slots an endpoint may hold
 	 * @param now the time
-	 * @return the endpoint, or null if none has room
+	 * @return the endpoint, or null if none has capacity
 	 */
 	EndpointView select(PendingRequest pending, int overcommit, long now) {
 		int count = 0;
@@ -39,7 +40,7 @@
 		return selectCheapest(pending, count, now);
 	}
 
-	// Return whether an endpoint may serve a request, load aside.
+	// Returns whether an endpoint may serve a request, regardless of its load.
 	boolean isEligible(EndpointView endpoint, PendingRequest pending, long now) {
 		return endpoint.acceptsRequests(now) && !endpoint.reservedForIsolation
 				&& !pending.triedEndpoints.contains(endpoint);
@@ -59,8 +60,7 @@
 		return overcommit > 0 && load < endpoint.usableSlots() + overcommit;
 	}
 
-	// Return the victim's endpoint that is cheapest for a request, of those that hold
-	// one.
+	// Returns the cheapest endpoint for a request among those with a preemptible attempt.
 	EndpointView selectPreemptible(PendingRequest pending, Predicate<EndpointView> holdsVictim, long now) {
 		int count = 0;
 		for (EndpointView endpoint : pending.endpointSet.endpoints) {
--- a/core/src/main/java/org/acaciacourse/core/dispatch/EndpointSetState.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/EndpointSetState.java
@@ -12,11 +12,12 @@
 import org.acaciacourse.core.model.Tier;
 
 /**
- * One endpoint set with its endpoints, the requests that wait for it and what was learnt
- * from the traffic.
+ * The run-time state of one endpoint set: its endpoints, the waiting requests and the
+ * statistics learned from the traffic.
  * <p>
- * Invariants: learnt state is bounded by classes and {@link #MAX_HISTOGRAMS}; the ledger
- * of the low tier is clamped, so that an idle hour does not buy a burst.
+ * Invariants: the learned state is bounded by the number of classes and
+ * {@link #MAX_HISTOGRAMS}; the token balance of the low tier is clamped, so that an idle
+ * hour does not permit a burst.
  * <p>
  * Not thread safe: owned by one dispatcher.
  */
@@ -28,7 +29,7 @@
 
 	private static final double MAX_OWED_TOKENS = 2_000;
 
-	/** How far its own tokens may carry the low tier ahead of its share. */
+	/** The most tokens by which the low tier may exceed its share. */
 	private static final double MAX_ADVANCE_TOKENS = 600;
 
 	private static final double FIRST_TOKEN_QUANTILE = 0.9;
@@ -39,7 +40,7 @@
 
 	private static final int ISOLATION_DIVISOR = 6;
 
-	/** An endpoint is idle with at most this part of its slots in use. */
+	/** An endpoint counts as idle while at most one in this many slots is occupied. */
 	private static final int IDLE_DIVISOR = 4;
 
 	private static final double IDLE_RELAXATION = 0.02;
@@ -52,7 +53,7 @@
 
 	EndpointSet definition;
 
-	/** What may be sent beyond the slots. */
+	/** Limits the requests sent beyond the slots. */
 	final OvercommitWindow overcommitWindow = new OvercommitWindow();
 
 	int activeAttempts;
@@ -100,7 +101,7 @@
 		return this.definition.resumable() || this.definition.deterministic();
 	}
 
-	// What was learnt
+	// Learned statistics
 
 	void recordAnswerLength(PendingRequest pending) {
 		String requestClass = pending.info.requestClass();
@@ -127,14 +128,14 @@
 		return (all != null) ? all.mean(DEFAULT_ANSWER_TOKENS) : DEFAULT_ANSWER_TOKENS;
 	}
 
-	// Return the mean time at an endpoint of a class in nanoseconds, 0 if unknown.
+	// Returns the mean duration of an attempt of a class in nanoseconds, 0 if unknown.
 	double meanDuration(String requestClass) {
 		DecayingHistogram histogram = this.durations.get(requestClass);
 		return (histogram != null) ? histogram.mean(0) * 1e6 : 0;
 	}
 
-	// Return the least time from dispatch to the target in nanoseconds that is still
-	// plausible: with less left, the target is out of reach.
+	// Returns the shortest plausible time from dispatch to the target event in
+	// nanoseconds: with less time left, the target is out of reach.
 	long minServiceTime(PendingRequest pending) {
 		if (pending.isFirstTokenTarget()) {
 			DecayingHistogram first = this.firstTokenTimes.get(pending.info.requestClass());
@@ -144,11 +145,11 @@
 		return (histogram != null) ? (long) (histogram.quantile(DURATION_QUANTILE, 0) * 1e6) : 0;
 	}
 
-	// Return the least time as a reason to refuse: nothing while an endpoint is idle.
-	// What was learnt under load or during a fault says little of an idle endpoint, and
-	// a refusal teaches nothing: without this a fault that made all answers late would
-	// have every later request refused, for good. A request that an idle endpoint takes
-	// is the probe that brings the estimate back.
+	// Returns the minimum service time to use for refusals, which is 0 while an endpoint
+	// is idle. Times observed under load or during a fault say little about an idle
+	// endpoint, and refused requests yield no new samples: a fault that delayed all
+	// answers would otherwise cause every later request to be refused, permanently. A
+	// request sent to an idle endpoint acts as a probe that corrects the estimate.
 	long minServiceTime(PendingRequest pending, PolicySettings settings, int entryCount, long now) {
 		return (hasIdleEndpoint(settings, entryCount, now)) ? 0 : minServiceTime(pending);
 	}
@@ -171,25 +172,27 @@
 		return histograms.computeIfAbsent(key, (k) -> new DecayingHistogram());
 	}
 
-	// The guaranteed share of the low tier
+	// Guaranteed share of the low tier
 
-	// Book tokens: all of them earn the low tier its share, its own use it up.
+	// Updates the token balance: tokens of every tier add the low tier's share to it,
+	// tokens of the low tier are deducted.
 	void accountTokens(boolean low, int count, double share) {
 		this.owedTokens += share * count - ((low) ? count : 0);
 		this.owedTokens = Math.max(-MAX_ADVANCE_TOKENS, Math.min(MAX_OWED_TOKENS, this.owedTokens));
 	}
 
-	// Return whether the low tier is behind its share and may start a run that is not
-	// preempted. One at a time, or the share of the runs, whichever is more: that bounds
-	// what the upper tiers lose at any moment.
+	// Returns whether the low tier has received less than its share and may start an
+	// attempt that cannot be preempted. The number of such attempts is limited to one or
+	// the low tier's share of the active attempts, whichever is more, which bounds the
+	// capacity lost to the upper tiers at any moment.
 	boolean isLowTierOwed(double share) {
 		return this.owedTokens > 0 && this.guaranteedAttempts < Math.max(1, (int) (share * this.activeAttempts));
 	}
 
 	// Stragglers
 
-	// Compare each endpoint with the median of its peers. An endpoint that got nothing to
-	// do drifts back to the median, so that it is tried again.
+	// Compares each endpoint with the median of its peers. The average of an endpoint
+	// without attempts moves back to the median, so that it is used again.
 	void updateSlowdowns(double stragglerFactor) {
 		double[] gaps = this.endpoints.stream()
 			.filter((endpoint) -> endpoint.tokenGap.isInitialized())
@@ -210,10 +213,10 @@
 		}
 	}
 
-	// The mix of tiers
+	// Tier mix
 
-	// Learn the share of lower work among this VM's runs. Traffic is spread over the VMs
-	// by chance, so that the share of the others is much the same.
+	// Learns the share of lower tiers among this VM's attempts. Traffic is distributed
+	// randomly over the VMs, so that the share is about the same on the others.
 	void updateTierMix() {
 		int lower = 0;
 		int all = 0;
@@ -228,7 +231,8 @@
 		}
 	}
 
-	// Return how many slots hold lower work of any VM, as far as this VM's own mix tells.
+	// Returns the estimated number of slots held by lower tiers of any VM, based on this
+	// VM's own tier mix.
 	double lowerTierSlots() {
 		int slots = 0;
 		for (EndpointView endpoint : this.endpoints) {
@@ -237,11 +241,11 @@
 		return this.lowerTierShare.get(1) * slots;
 	}
 
-	// Suspects
+	// Isolation of suspect content
 
-	// Set endpoints aside for suspects, or give them back: a sixth, the last by name, so
-	// that all VMs take the same ones without a word between them. Return whether there
-	// are any.
+	// Reserves endpoints for suspect content, or releases them: a sixth of the healthy
+	// endpoints, the last ones by name, so that all VMs reserve the same ones without
+	// communicating. Returns whether isolation is active.
 	boolean updateIsolation(boolean suspected, long now) {
 		boolean active = suspected || hasIsolatedWaiting();
 		if (!active && this.isolationEndpoints.isEmpty()) {
@@ -277,16 +281,16 @@
 		return this.isolationSince;
 	}
 
-	// What was refused
+	// Lanes blocked after a refusal
 
-	// Hold lower lanes back after a refusal: until then the place of the refused request
-	// must not go to a lower one, should the estimate have been too dark.
+	// Blocks the lanes below after a refusal: if the estimate was too pessimistic, the
+	// capacity must not go to a lower tier instead of the refused request.
 	void blockLanesBelow(int lane, long until) {
 		this.lowerLanesBlockedUntil[lane] = Math.max(this.lowerLanesBlockedUntil[lane], until);
 	}
 
-	// Return whether something above a lane was refused so lately that the lane must
-	// wait.
+	// Returns whether a lane must wait because a request of a higher lane was refused
+	// recently.
 	boolean isLaneBlocked(int lane, long now) {
 		for (int upper = 0; upper < lane; upper++) {
 			if (now < this.lowerLanesBlockedUntil[upper]) {
--- a/core/src/main/java/org/acaciacourse/core/dispatch/EndpointStatus.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/EndpointStatus.java
@@ -1,24 +1,24 @@
 package org.acaciacourse.core.dispatch;
 
 /**
- * What membership says of an endpoint.
+ * The status of an endpoint according to membership.
  * <p>
  * Immutable and thread safe.
  */
 public enum EndpointStatus {
 
-	/** May get new work. */
+	/** May receive new requests. */
 	LIVE,
 
-	/** Finishes what it has and gets nothing new. */
+	/** Completes its current requests and receives no new ones. */
 	LEAVING,
 
-	/** Is no more; what it ran is lost. */
+	/** No longer exists; its running requests are lost. */
 	GONE;
 
 	/**
-	 * Return whether the endpoint may get new work.
-	 * @return whether new work is permitted
+	 * Return whether the endpoint may receive new requests.
+	 * @return whether new requests are permitted
 	 */
 	public boolean acceptsWork() {
 		return this == LIVE;
--- a/core/src/main/java/org/acaciacourse/core/dispatch/EndpointView.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/EndpointView.java
@@ -11,11 +11,12 @@
 import org.acaciacourse.core.model.Endpoint;
 
 /**
- * What this VM knows of one endpoint: its own runs there, the last load report corrected
- * by what this VM sent and got back since, and the speed that it observed.
+ * This VM's view of one endpoint: its own attempts there, the last load report corrected
+ * for attempts started and ended since, and the observed speed.
  * <p>
- * Invariants: the estimate of the load is never below the own runs; prefix hints are
- * bounded. An endpoint that failed gets one request at a time until one succeeds.
+ * Invariants: the load estimate is never below the number of own attempts; the number of
+ * prefix hints is bounded. After repeated failures an endpoint gets one request at a time
+ * until one succeeds.
  * <p>
  * Not thread safe: owned by one dispatcher.
  */
@@ -41,17 +42,17 @@
 
 	final List<ActiveAttempt> attempts = new ArrayList<>();
 
-	/** Observed nanoseconds between tokens. */
+	/** The observed time between tokens in nanoseconds. */
 	final MovingAverage tokenGap = new MovingAverage(0.05);
 
 	final RetryBudget retryBudget = new RetryBudget(RETRY_BUDGET_CAPACITY, RETRY_BUDGET_RATIO);
 
 	Endpoint definition;
 
-	/** How much slower than its peers it is; 1 for an ordinary endpoint. */
+	/** How many times slower than its peers the endpoint is; 1 if it is no straggler. */
 	double slowdown = 1;
 
-	/** Set aside for a request that may crash it. */
+	/** Reserved for requests that may crash the endpoint. */
 	boolean reservedForIsolation;
 
 	private final Set<Long> prefixes = new LinkedHashSet<>();
@@ -101,8 +102,8 @@
 		this.tokenGap.reset();
 	}
 
-	// Take a report. One that repeats its sequence is frozen and tells nothing, which
-	// lets the last good one grow stale.
+	// Applies a load report. A repeated sequence number means that the reporter is
+	// frozen; such a report is ignored, so that the last good one becomes stale.
 	void applyReport(LoadReport report, FreeSlotAllocator slotAllocator, long now) {
 		if (report.sequence() == this.lastSequence) {
 			return;
@@ -141,7 +142,8 @@
 		this.retryBudget.deposit();
 	}
 
-	// Return a number that grows with each use of any endpoint.
+	// Returns the id of the last attempt sent here, which increases with each attempt at
+	// any endpoint.
 	long lastAttemptId() {
 		return this.lastAttemptId;
 	}
@@ -156,9 +158,9 @@
 		this.endedNext = (this.endedNext + 1) % MAX_ENDED_ATTEMPTS;
 	}
 
-	// Return the requests at the endpoint, of all VMs. Without a trusted report each VM
-	// assumes that the others hold as much as it does itself, which leaves it its own
-	// part of the slots.
+	// Returns the estimated number of requests of all VMs at the endpoint. Without a
+	// fresh report each VM assumes that the others hold as many as it does itself, which
+	// limits it to its own part of the slots.
 	int occupancy(PolicySettings settings, int entryCount, long now) {
 		int own = this.attempts.size();
 		if (!hasFreshReport(settings.staleNanos(), now)) {
@@ -167,11 +169,12 @@
 		return Math.max(own, this.estimatedLoad);
 	}
 
-	// Return whether one more request has room. What many VMs see free at the same time
-	// is shared by lot once it is scarce: each draws its expected part at each report,
-	// and may use again what its own requests gave back. Without the lot all VMs with
-	// something waiting send it to the one free slot, and the losers wait inside the
-	// engine, past their target and where no order of ours reaches them.
+	// Returns whether there is capacity for one more request. Once free slots are scarce,
+	// they are divided among the VMs: each VM is allocated its part at every report and
+	// may reuse the slots that its own attempts have released. Without this division all
+	// VMs with waiting requests would send one to the same free slot, and the surplus
+	// would wait inside the engine, past their target and out of reach of the
+	// dispatcher's ordering.
 	boolean hasCapacity(PolicySettings settings, int entryCount, long now) {
 		int freeSlots = usableSlots() - occupancy(settings, entryCount, now);
 		if (freeSlots <= 0) {
@@ -193,7 +196,7 @@
 		return this.reportedAt != Long.MIN_VALUE && now - this.reportedAt <= staleNanos;
 	}
 
-	// Return the slots to use: a straggler gets less, but never nothing.
+	// Returns the number of slots to use: fewer for a straggler, but at least one.
 	int usableSlots() {
 		if (this.slowdown <= 1) {
 			return this.definition.slots();
@@ -225,9 +228,10 @@
 		this.pausedUntil = Long.MIN_VALUE;
 	}
 
-	// Note a failure. A crash or a refused connection is certain and pauses the endpoint
-	// at once; a single lost stream may be the fault of the path, so that it takes
-	// several. The pause doubles up to half a minute and ends with a single probe.
+	// Records a failure. A crash or a failed connection attempt is unambiguous and pauses
+	// the endpoint at once. A single lost stream may be a network fault, so that several
+	// are needed. The pause doubles up to about 30 s; after it, the endpoint is probed
+	// with a single request.
 	void attemptFailed(AttemptOutcome outcome, long now, double jitter) {
 		boolean certain = outcome == AttemptOutcome.CRASHED || outcome == AttemptOutcome.NOT_SENT;
 		if (now < this.pausedUntil) {
--- a/core/src/main/java/org/acaciacourse/core/dispatch/FreeSlotAllocator.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/FreeSlotAllocator.java
@@ -1,10 +1,11 @@
 package org.acaciacourse.core.dispatch;
 
 /**
- * Shares the free slots of an endpoint among the entry VMs that see the same report,
- * without a word between them. VMs that know their place take turns by the sequence of
- * the report, so that exactly the free slots are given out; without a place each draws
- * its expected part by lot, which gives out as many only on average.
+ * Divides the free slots of an endpoint among the entry VMs that see the same load
+ * report, without communication between them. VMs that know their index rotate by the
+ * sequence number of the report, so that exactly the free slots are allocated. Without an
+ * index each VM rounds its expected part randomly up or down, which is right only on
+ * average.
  * <p>
  * Not thread safe: owned by one dispatcher.
  */
@@ -18,7 +19,7 @@
 		this.state = state;
 	}
 
-	// Return this VM's part of the free slots that a report tells of.
+	// Returns this VM's part of the free slots given by a report.
 	int allocate(int freeSlots, String endpoint, long sequence) {
 		if (freeSlots <= 0) {
 			return 0;
--- a/core/src/main/java/org/acaciacourse/core/dispatch/LoadReport.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/LoadReport.java
@@ -1,14 +1,15 @@
 package org.acaciacourse.core.dispatch;
 
 /**
- * What an engine reports of its load. It lags behind the truth and may freeze.
+ * A load report of an engine. It is delayed and may stop changing.
  * <p>
  * Immutable and thread safe.
  *
- * @param sequence grows with each report that the engine makes; a frozen one repeats it
- * @param running the requests that it runs
- * @param queued the requests that wait inside it
- * @param ageNanos how old the report was when it was received
+ * @param sequence increases with each report that the engine makes; a frozen engine
+ * repeats it
+ * @param running the number of running requests
+ * @param queued the number of requests waiting inside the engine
+ * @param ageNanos the age of the report when it was received
  */
 public record LoadReport(long sequence, int running, int queued, long ageNanos) {
 }
--- a/core/src/main/java/org/acaciacourse/core/dispatch/OutcomeHandler.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/OutcomeHandler.java
@@ -6,13 +6,14 @@
 import org.acaciacourse.core.dispatch.suspect.SuspectTable;
 
 /**
- * Decides what follows the end of an attempt: the final answer, a retry elsewhere, or a
- * place in the line for a request that was set aside.
+ * Decides what follows the end of an attempt: the final answer, a retry at another
+ * endpoint, or requeueing after a preemption.
  * <p>
- * Invariants: a request that may not be repeated is tried again only if no byte of it
- * reached an endpoint or the endpoint says that it did not run it; a retry goes to
- * another endpoint, within the budgets of class and endpoint, with jitter and inside the
- * deadline; content is convicted only by a crash while it ran apart.
+ * Invariants: a request that may not be repeated is retried only if no byte of it reached
+ * an endpoint or the endpoint reported that it did not run it; a retry goes to another
+ * endpoint if the set has one, within the budgets of class and endpoint, with jitter and
+ * before the deadline; content is blocked only after a crash during an isolated attempt
+ * or after the second crash of one request.
  * <p>
  * Not thread safe: owned by one dispatcher.
  */
@@ -30,7 +31,7 @@
 		this.state = state;
 	}
 
-	// Follow up the end of a run that is already off its endpoint.
+	// Handles the outcome of an attempt that was already removed from its endpoint.
 	void attemptEnded(ActiveAttempt attempt, AttemptOutcome outcome, long now) {
 		PendingRequest pending = attempt.pending;
 		pending.attempt = null;
@@ -73,9 +74,10 @@
 		}
 	}
 
-	// Clear a suspect that got past the point where the endpoint had crashed. The next
-	// one need not wait for the end of a long answer. A second crash while this request
-	// runs convicts it all the same.
+	// Clears the suspicion once an isolated attempt has produced SURVIVAL_TOKENS tokens
+	// and so passed the point at which the endpoint crashed. The next suspect then need
+	// not wait for the end of a long answer. If the same request crashes an endpoint
+	// again, its content is still blocked.
 	void clearIfSurvived(ActiveAttempt attempt, long now) {
 		if (attempt.isolated && attempt.tokens >= SURVIVAL_TOKENS && attempt.pending.isolated) {
 			clearSuspicion(attempt.pending, now);
@@ -83,7 +85,8 @@
 		}
 	}
 
-	// Make room for the next trial: the acquitted one goes on at another endpoint.
+	// Frees the isolation endpoint for the next suspect: the cleared request continues at
+	// another endpoint.
 	private void releaseIsolationEndpoint(PendingRequest pending) {
 		if (mayRepeat(pending) && pending.endpointSet.endpoints.size() > 1) {
 			this.state.cancelAttempt(pending);
@@ -96,7 +99,7 @@
 		this.state.actions.publishSuspect(pending.info.contentHash(), 0);
 	}
 
-	// Take the same content off other endpoints before it crashes them too.
+	// Cancels other attempts with the same content before they crash their endpoints.
 	void cancelSameContent(long content, long now) {
 		for (PendingRequest pending : List.copyOf(this.state.requests.values())) {
 			boolean sameContent = pending.info.contentHash() == content && pending.attempt != null
@@ -108,8 +111,9 @@
 		}
 	}
 
-	// Note what ran on an endpoint when it crashed. A run beside others proves nothing
-	// and makes it suspect; a run apart convicts.
+	// Records that a request was running on an endpoint that crashed. After a shared
+	// attempt the content is only suspect; a crash during an isolated attempt proves that
+	// it was the cause.
 	private void recordCrash(ActiveAttempt attempt, long now) {
 		long content = attempt.pending.info.contentHash();
 		attempt.pending.crashCount++;
@@ -133,7 +137,7 @@
 			this.state.finish(pending, finalCode(pending, outcome), 0);
 		}
 		else if (!notRun && pending.endpointSet.endpoints.size() == 1) {
-			// There is no other endpoint: the caller gets its answer now, not at its
+			// There is no other endpoint: answer the caller now rather than at its
 			// deadline.
 			this.state.finish(pending, ResultCode.RETRIES_EXHAUSTED, BACKOFF_NANOS << MAX_BACKOFF_SHIFT);
 		}
@@ -189,7 +193,7 @@
 		pending.queue.add(pending);
 	}
 
-	// Put a request back that was set aside for a higher tier.
+	// Requeues a request whose attempt was cancelled, for example by preemption.
 	private void requeue(PendingRequest pending, long now) {
 		pending.queue.add(pending);
 	}
--- a/core/src/main/java/org/acaciacourse/core/dispatch/OvercommitWindow.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/OvercommitWindow.java
@@ -1,12 +1,12 @@
 package org.acaciacourse.core.dispatch;
 
 /**
- * How many high requests may be at engines beyond the slots at the same time, for the
- * engine to set lower work of other VMs aside. No report tells of which tier the work at
- * an engine is, so that the window is found by trial: it grows while such requests start
- * soon and halves when one does not, because the engine is full of high work (additive
- * increase, multiplicative decrease, Chiu and Jain 1989). Below one, a single request
- * tries it again after a pause.
+ * Limits how many requests of the high tier may be at engines beyond their slots at the
+ * same time, where the engine preempts lower-tier work of other VMs for them. Reports do
+ * not tell the tier of the work at an engine, so that the window is found by probing: it
+ * grows while such requests start quickly and halves when one does not, because the
+ * engine is full of high-tier work (additive increase, multiplicative decrease, Chiu and
+ * Jain 1989). A window below 1 permits a single probe after a pause.
  * <p>
  * Invariant: the window is between {@link #MIN_WINDOW} and {@link #MAX_WINDOW}.
  * <p>
@@ -32,7 +32,8 @@
 
 	private long pausedUntil = Long.MIN_VALUE;
 
-	// Return whether one more may be sent, of what this VM expects to find as lower work.
+	// Returns whether one more request may be sent beyond the slots, given the slots that
+	// this VM expects to be held by lower tiers.
 	boolean permits(double lowerTierSlots, long now) {
 		double effectiveWindow = Math.min(this.window, lowerTierSlots);
 		if (effectiveWindow >= 1) {
@@ -47,7 +48,8 @@
 		this.sentAt = now;
 	}
 
-	// Note that a request beyond the slots began to answer, or ended without.
+	// Records that an overcommitted request received its first token, or ended without
+	// one.
 	void started(long waitedNanos, long targetNanos, long now) {
 		this.outstanding--;
 		if (waitedNanos <= MAX_START_WAIT_SHARE * targetNanos) {
--- a/core/src/main/java/org/acaciacourse/core/dispatch/PendingRequest.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/PendingRequest.java
@@ -10,8 +10,8 @@
 /**
  * A request between its arrival and its final answer.
  * <p>
- * Invariants: at most one run is current; {@link #state} is {@link State#DONE} from the
- * final answer on and never changes again, which keeps the answer single.
+ * Invariants: at most one attempt is current; {@link #state} becomes {@link State#DONE}
+ * with the final answer and never changes again, so that there is only one final answer.
  * <p>
  * Not thread safe: owned by one dispatcher.
  */
@@ -47,19 +47,19 @@
 
 	int deliveredTokens;
 
-	/** When this request has to be looked at again: it is late or out of time. */
+	/** When this request must be checked again for its target or deadline. */
 	long dueAt;
 
-	/** A retry waits until then. */
+	/** The earliest time of the next attempt, 0 if there is no such limit. */
 	long notBefore;
 
-	/** Whether it is to run apart from others because it may crash the endpoint. */
+	/** Whether it must run without other requests because it may crash the endpoint. */
 	boolean isolated;
 
-	/** How many attempts failed; one that was set aside did not. */
+	/** The number of failed attempts; preempted ones do not count. */
 	int failureCount;
 
-	/** How many endpoints crashed while they ran it. */
+	/** The number of endpoints that crashed while running this request. */
 	int crashCount;
 
 	PendingRequest(RequestInfo info, RequestClass requestClass, EndpointSetState endpointSet, CustomerLimit limit,
@@ -83,26 +83,28 @@
 		return this.state == State.DONE;
 	}
 
-	// Whether the request may still be refused because its target is out of reach.
+	// Returns whether there was no attempt yet, so that the request may still be refused
+	// because its target is unreachable.
 	boolean isUndispatched() {
 		return this.attemptCount == 0;
 	}
 
-	// Whether only some endpoints will do, so that it must not block the others.
+	// Returns whether only some endpoints or times are permitted, so that this request
+	// must not block the others.
 	boolean isConstrained() {
 		return this.isolated || !this.triedEndpoints.isEmpty() || this.notBefore > 0;
 	}
 
-	/** Where a request is on its way. */
+	/** The state of a request. */
 	enum State {
 
-		/** In a waiting line. */
+		/** In a queue. */
 		WAITING,
 
 		/** At an endpoint. */
 		RUNNING,
 
-		/** Answered. */
+		/** Has its final answer. */
 		DONE
 
 	}
--- a/core/src/main/java/org/acaciacourse/core/dispatch/PolicyBehaviour.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/PolicyBehaviour.java
@@ -4,14 +4,14 @@
 import org.acaciacourse.core.model.Tier;
 
 /**
- * What the kinds of policy do differently: which lane and flow a request waits in, what
- * an endpoint is judged by, and whether tiers and targets count.
+ * The differences between the kinds of policy: the lane and flow that a request waits in,
+ * the cost of an endpoint, and whether tiers and targets are enforced.
  * <p>
  * Immutable and thread safe.
  */
 enum PolicyBehaviour {
 
-	/** One queue in order of arrival, endpoints in turn. */
+	/** One queue in order of arrival; endpoints in round-robin order. */
 	FIFO {
 
 		@Override
@@ -21,7 +21,7 @@
 
 	},
 
-	/** One queue in order of arrival, the endpoint with the fewest own requests. */
+	/** One queue in order of arrival; the endpoint with the fewest own attempts. */
 	LEAST_IN_FLIGHT {
 
 		@Override
@@ -31,7 +31,7 @@
 
 	},
 
-	/** Tiers, fair shares, targets and corrected load. */
+	/** Tiers, fair shares, latency targets and corrected load estimates. */
 	TIERED {
 
 		@Override
@@ -89,12 +89,12 @@
 		};
 	}
 
-	// Return the lane of a tier, 0 is served first.
+	// Returns the lane of a tier; lane 0 is served first.
 	int lane(Tier tier) {
 		return 0;
 	}
 
-	// Return the flow within the lane; flows share the lane fairly.
+	// Returns the flow within the lane; flows share the lane fairly.
 	String flow(PendingRequest pending) {
 		return "";
 	}
@@ -103,7 +103,7 @@
 		return Tier.MIDDLE.enginePriority();
 	}
 
-	// Return the load that an endpoint is judged by.
+	// Returns the load used to compare endpoints.
 	int load(EndpointView endpoint, PolicySettings settings, int entryCount, long now) {
 		return endpoint.attempts.size();
 	}
@@ -112,17 +112,18 @@
 		return endpoint.attempts.size() < endpoint.definition.slots();
 	}
 
-	// Return how bad an endpoint with room is for a request; the lowest one is taken.
+	// Returns the cost of an endpoint with free capacity for a request; the cheapest is
+	// selected.
 	abstract double cost(EndpointView endpoint, PendingRequest pending, PolicySettings settings, int entryCount,
 			long now);
 
-	// Return how many endpoints with room are compared.
+	// Returns how many endpoints with free capacity are compared.
 	int choices(PolicySettings settings) {
 		return Integer.MAX_VALUE;
 	}
 
-	// Return whether targets, tiers and shares count: refusal of what comes too late,
-	// preemption and the guaranteed share.
+	// Returns whether targets, tiers and shares are enforced: refusal of requests that
+	// cannot meet their target, preemption and the guaranteed share.
 	boolean enforcesTargets() {
 		return false;
 	}
--- a/core/src/main/java/org/acaciacourse/core/dispatch/PolicyDispatcher.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/PolicyDispatcher.java
@@ -16,14 +16,14 @@
 import org.acaciacourse.core.model.Tier;
 
 /**
- * The decisions of one entry VM under the policies of the manifest. The steps are in
- * classes of their own: {@link Admission}, {@link PolicyQueue}, {@link EndpointSelector},
- * {@link Scheduler} and {@link OutcomeHandler}.
+ * The scheduling decisions of one entry VM according to the policies of the manifest. The
+ * steps are separate classes: {@link Admission}, {@link PolicyQueue},
+ * {@link EndpointSelector}, {@link Scheduler} and {@link OutcomeHandler}.
  * <p>
- * Invariants: each request gets exactly one final answer; a change of policy applies to
- * all that waits at once and touches nothing that runs.
+ * Invariants: each request gets exactly one final answer; a policy change applies to all
+ * waiting requests at once and does not affect running ones.
  * <p>
- * Not thread safe: one thread calls it.
+ * Not thread safe: all methods are called by one thread.
  */
 public final class PolicyDispatcher implements Dispatcher {
 
@@ -48,9 +48,9 @@
 	private long reviewedAt = Long.MIN_VALUE;
 
 	/**
-	 * Create a dispatcher that knows no manifest yet and refuses all.
-	 * @param actions what carries its decisions out
-	 * @param seed the seed of its random choices
+	 * Create a dispatcher without a manifest, which refuses all requests.
+	 * @param actions executes the decisions
+	 * @param seed the seed of the random choices
 	 */
 	public PolicyDispatcher(DispatchActions actions, long seed) {
 		this.state = new DispatchState(actions, seed);
@@ -69,11 +69,10 @@
 	}
 
 	/**
-	 * Take note of how many entry VMs share the traffic, and which of them this one is.
-	 * With their numbers the VMs deal free slots out among themselves; without, they draw
-	 * lots.
-	 * @param index the place of this VM among them, the same order on all VMs
-	 * @param count the number of VMs, this one included
+	 * Set the number of entry VMs that share the traffic, and the index of this one. With
+	 * an index the VMs divide free slots exactly; without one they divide them randomly.
+	 * @param index the index of this VM in an order that is the same on all VMs
+	 * @param count the number of VMs, including this one
 	 * @param now the time
 	 */
 	public void entryShare(int index, int count, long now) {
@@ -109,7 +108,7 @@
 		this.state.sets.get(endpoint.set()).endpoints.add(view);
 	}
 
-	// Make the lines anew and move all that waits, in order of arrival.
+	// Creates the queues anew and moves all waiting requests to them in order of arrival.
 	private void rebuildQueues(EndpointSetState set, Manifest manifest) {
 		List<PendingRequest> waiting = new ArrayList<>();
 		set.queues.values().forEach((queue) -> queue.forEach(waiting::add));
@@ -306,7 +305,7 @@
 		dispatchAllWaiting(now);
 	}
 
-	// Apply news of a suspicion to a request that waits.
+	// Applies a changed suspicion to a waiting request.
 	private void applySuspicion(PendingRequest pending, int crashes, long now) {
 		if (crashes >= SuspectTable.CONVICTION) {
 			this.state.finish(pending, ResultCode.CRASHING_CONTENT, 0);
@@ -325,8 +324,8 @@
 	}
 
 	/**
-	 * Return how many requests have no final answer yet.
-	 * @return the number of requests that wait or run
+	 * Return the number of requests without a final answer.
+	 * @return the number of waiting and running requests
 	 */
 	public int openRequests() {
 		return this.state.requests.size();
@@ -363,15 +362,16 @@
 			this.state.refuseUnreachable(pending, now);
 		}
 		else {
-			// Its time may be past while an endpoint is idle: without the pause it
-			// would be looked at each nanosecond, and the VM would do nothing else.
+			// The target time may have passed while an endpoint is idle: without a
+			// minimum interval the request would be checked again every nanosecond, and
+			// the VM would do nothing else.
 			long next = Math.max(now + CHECK_INTERVAL_NANOS, targetUnreachableAt(pending));
 			this.state.reschedule(pending, Math.min(next, pending.deadlineAt));
 		}
 	}
 
-	// Return when a waiting request cannot meet its target any more. What was learnt may
-	// have moved that time, so that it is worked out anew each time it is reached.
+	// Returns when a waiting request can no longer meet its target. New observations may
+	// have moved that time, so that it is computed again whenever it is reached.
 	private static long targetUnreachableAt(PendingRequest pending) {
 		boolean waits = pending.state == PendingRequest.State.WAITING && pending.isUndispatched() && !pending.isolated;
 		if (!waits || !pending.queue.behaviour.enforcesTargets()) {
--- a/core/src/main/java/org/acaciacourse/core/dispatch/PolicyQueue.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/PolicyQueue.java
@@ -9,10 +9,11 @@
 import org.acaciacourse.core.model.Tier;
 
 /**
- * The waiting requests of one policy at one endpoint set: a lane for each tier, and
- * beside each lane a list of those that were at an endpoint before. These go first, for
- * their answers are begun, and one that only some endpoints may serve does not block the
- * others there.
+ * The waiting requests of one policy at one endpoint set. There is a lane for each tier,
+ * and for each lane a list of requests that were dispatched before or that only some
+ * endpoints may serve. The list is served first, because answers in it are already partly
+ * delivered; a request in it that only some endpoints may serve does not block the
+ * others.
  * <p>
  * Invariant: a waiting request is in exactly one lane or list.
  * <p>
@@ -64,7 +65,7 @@
 		this.size -= (removed) ? 1 : 0;
 	}
 
-	// Take a request out because it goes to an endpoint.
+	// Removes a request that is sent to an endpoint and charges its flow.
 	void serve(PendingRequest pending, double expectedTokens) {
 		int lane = lane(pending);
 		if (!this.requeued.get(lane).remove(pending)) {
@@ -73,10 +74,10 @@
 		this.size--;
 	}
 
-	// Return the request that is served next in a lane. Once the oldest of the flow has
-	// used up half of its time, the newest goes first (adaptive LIFO, Maurer 2015): under
-	// overload a queue in order of arrival serves each request just too late, while this
-	// order keeps the time of those that can still make it.
+	// Returns the request of a lane to serve next. Once the oldest request of the flow
+	// has used half of the time to its target, the newest one is served first (adaptive
+	// LIFO, Maurer 2015): under overload, FIFO order serves every request just too late,
+	// while LIFO order serves those that can still meet their target.
 	Optional<PendingRequest> next(int lane, long now) {
 		FairQueue<PendingRequest> fairQueue = this.lanes.get(lane);
 		Optional<PendingRequest> oldest = fairQueue.oldest();
@@ -88,8 +89,8 @@
 		return (overloaded) ? fairQueue.newest() : oldest;
 	}
 
-	// Return the next of those that were begun and that any endpoint may go on with, or
-	// else the next of the lane.
+	// Returns the first requeued request without constraints, or else the next one of the
+	// lane.
 	Optional<PendingRequest> nextRequeuedFirst(int lane, long now) {
 		Optional<PendingRequest> first = this.requeued.get(lane)
 			.stream()
@@ -110,8 +111,8 @@
 		return this.lanes.get(lane(pending)).sizeOf(this.behaviour.flow(pending));
 	}
 
-	// Return how many are served before a new request: all of the lanes before it, and of
-	// its own lane as many of each flow as of its own, for flows take turns.
+	// Returns how many requests are served before a new one: all of the higher lanes, and
+	// in its own lane as many of each flow as of its own, because flows alternate.
 	int aheadOf(PendingRequest pending) {
 		int lane = lane(pending);
 		FairQueue<PendingRequest> own = this.lanes.get(lane);
@@ -120,7 +121,7 @@
 		return before + Math.min(own.size(), turns);
 	}
 
-	// Return how many wait in a lane and the lanes before it.
+	// Returns how many requests wait in a lane and all lanes above it.
 	int sizeUpTo(int lane) {
 		int count = 0;
 		for (int i = 0; i <= lane; i++) {
--- a/core/src/main/java/org/acaciacourse/core/dispatch/PolicySettings.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/PolicySettings.java
@@ -8,18 +8,21 @@
  * <p>
  * Immutable and thread safe.
  *
- * @param lowestShare the share of the tokens that the low tier is given
- * @param choices how many endpoints with room are compared
+ * @param lowestShare the share of the tokens that is guaranteed to the low tier
+ * @param choices the number of endpoints with free capacity that are compared
  * @param overcommit how many high requests an endpoint may hold beyond its slots
- * @param staleNanos the age from which a load report is not trusted
- * @param preemptAfter the share of its target that a middle request waits before it
- * preempts
- * @param stragglerFactor how much slower than its peers a straggler is
- * @param prefixBonus how many slots a cached prefix is worth
- * @param maxQueued the most requests that wait for one endpoint set
- * @param maxAttempts the most attempts for one request
- * @param credits the share of the slots that each VM takes as its own part
- * @param scarce the share of the slots from which free ones are given out by lot
+ * @param staleNanos the age from which a load report is not used
+ * @param preemptAfter the share of its target that a middle request waits before it may
+ * preempt
+ * @param stragglerFactor how many times slower than its peers an endpoint must be to
+ * count as a straggler
+ * @param prefixBonus the number of slots that a cached prefix is worth
+ * @param maxQueued the maximum number of requests that wait for one endpoint set
+ * @param maxAttempts the maximum number of attempts of one request
+ * @param credits the share of the slots that is divided statically among the VMs, 0 to
+ * use load reports instead
+ * @param scarce the share of free slots of an endpoint up to which they are divided among
+ * the VMs
  */
 record PolicySettings(double lowestShare, int choices, int overcommit, long staleNanos, double preemptAfter,
 		double stragglerFactor, double prefixBonus, int maxQueued, int maxAttempts, double credits, double scarce) {
--- a/core/src/main/java/org/acaciacourse/core/dispatch/Scheduler.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/Scheduler.java
@@ -8,18 +8,18 @@
 import org.acaciacourse.core.model.Tier;
 
 /**
- * Moves waiting requests to endpoints: lane by lane, highest tier first, as long as there
- * is room.
+ * Dispatches waiting requests to endpoints, lane by lane from the highest tier, while
+ * there is free capacity.
  * <p>
- * Invariants: after a step no endpoint with room is left while a request that may use it
- * waits; a run is preempted only for a higher tier, and never one on the guaranteed share
- * of the low tier or one that may not be repeated.
+ * Invariants: after a step no endpoint has free capacity while a request that may use it
+ * waits; an attempt is preempted only for a higher tier, and never if it uses the
+ * guaranteed share of the low tier or its request may not be repeated.
  * <p>
  * Not thread safe: owned by one dispatcher.
  */
 final class Scheduler {
 
-	/** How many requests that were begun are looked at in one step of a lane. */
+	/** The number of requeued requests examined in one step of a lane. */
 	private static final int MAX_REQUEUED_SCANNED = 32;
 
 	private static final double MAX_OVERCOMMIT_WAIT_SHARE = 0.25;
@@ -37,7 +37,7 @@
 		this.selector = new EndpointSelector(state);
 	}
 
-	// Dispatch all that can be dispatched at an endpoint set.
+	// Dispatches as many waiting requests of an endpoint set as possible.
 	void dispatchWaiting(EndpointSetState set, long now) {
 		if (set.updateIsolation(this.state.suspects.hasActiveSuspect(now), now)) {
 			set.isolationEndpoints().forEach(this::vacate);
@@ -109,7 +109,7 @@
 		}
 	}
 
-	// Return whether a request that never ran cannot meet its target any more.
+	// Returns whether a request without attempts can no longer meet its target.
 	boolean isTargetUnreachable(PendingRequest pending, long now) {
 		return pending.queue.behaviour.enforcesTargets() && pending.isUndispatched() && now + pending.endpointSet
 			.minServiceTime(pending, pending.queue.settings, this.state.entryCount, now) > pending.targetAt;
@@ -129,8 +129,8 @@
 		return endpoint;
 	}
 
-	// A request that has waited long has no time left to wait inside an engine, if that
-	// is full of high work.
+	// A request that has already waited long has no time left to wait inside an engine
+	// that turns out to be full of high-tier work.
 	private boolean mayOvercommit(PendingRequest pending, long now) {
 		double waited = now - pending.arrivedAt;
 		return waited <= MAX_OVERCOMMIT_WAIT_SHARE * (pending.targetAt - pending.arrivedAt)
@@ -148,8 +148,9 @@
 				&& waited >= pending.queue.settings.preemptAfter() * (pending.targetAt - pending.arrivedAt);
 	}
 
-	// Set a lower run of this VM aside and return its endpoint. The lowest tier goes
-	// first, and of it the run with the fewest tokens, which has the least to lose.
+	// Cancels a lower-tier attempt of this VM and returns its endpoint. The victim is of
+	// the lowest tier, and within it the attempt with the fewest delivered tokens, which
+	// loses the least.
 	private EndpointView preempt(PendingRequest pending, long now) {
 		EndpointView endpoint = this.selector.selectPreemptible(pending,
 				(candidate) -> findVictim(candidate, pending) != null, now);
@@ -185,9 +186,9 @@
 				|| (tier == bestTier && attempt.pending.deliveredTokens < best.pending.deliveredTokens);
 	}
 
-	// Return an endpoint for a suspect: one of those set aside, when nothing else runs
-	// there, one suspect at a time. After a while it runs even beside requests of other
-	// VMs, which are then retried if it does crash the endpoint.
+	// Returns an isolation endpoint for a suspect request, one suspect at a time and only
+	// if nothing else runs there. After a time-out it may run beside requests of other
+	// VMs, which are retried if it crashes the endpoint.
 	private EndpointView findIsolationEndpoint(PendingRequest pending, long now) {
 		EndpointSetState set = pending.endpointSet;
 		List<EndpointView> isolationEndpoints = set.isolationEndpoints();
@@ -207,10 +208,10 @@
 		return (load <= 0 || drainTimedOut) ? endpoint : null;
 	}
 
-	// Take lower runs away from an engine that has set them aside for others' work and
-	// does not come back to them: elsewhere they may go on (moving requests between
-	// engines as in Llumnix, Sun et al. 2024). Otherwise they stay behind each new high
-	// request there until their deadline, while other engines serve their peers.
+	// Cancels lower-tier attempts that an engine has preempted for requests of other VMs
+	// and does not resume, so that they continue at another endpoint (migration between
+	// engines as in Llumnix, Sun et al. 2024). Otherwise they would stay behind each new
+	// high request there until their deadline, while other engines serve their peers.
 	void moveStalledAttempts(EndpointSetState set, long now) {
 		if (!set.canResume()) {
 			return;
@@ -226,7 +227,8 @@
 		}
 	}
 
-	// The endpoint that is set aside may be the one that has crashed and is back already.
+	// The isolation endpoint may be the one that crashed before and has already
+	// restarted; the retry then needs another empty endpoint.
 	private static EndpointView findEmptyEndpoint(PendingRequest pending, long now) {
 		for (EndpointView endpoint : pending.endpointSet.endpoints) {
 			if (endpoint.acceptsRequests(now) && endpoint.attempts.isEmpty()
--- a/core/src/main/java/org/acaciacourse/core/dispatch/TargetEstimate.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/TargetEstimate.java
@@ -1,20 +1,21 @@
 package org.acaciacourse.core.dispatch;
 
 /**
- * Why a request was refused because its target is out of reach: what the decision went
- * by. Times are in nanoseconds.
+ * The inputs of the decision to refuse a request because its target is unreachable. Times
+ * are in nanoseconds.
  * <p>
  * Immutable and thread safe.
  *
- * @param waited since the request arrived
- * @param expectedWait until it would be sent, 0 if it had its turn
- * @param leastTime from then to the target event, by what was observed lately
- * @param target from the arrival to the target
- * @param ahead the requests that wait before it
- * @param running the requests of its endpoint set that this VM has under way
- * @param healthy the endpoints of the set that are in service and do not fail
- * @param slots what those take at a time
- * @param meanDuration the mean time of a request of its class at an endpoint
+ * @param waited the time since the arrival of the request
+ * @param expectedWait the expected time until its dispatch, 0 if it was next
+ * @param leastTime the minimum time from dispatch to the target event according to recent
+ * observations
+ * @param target the time from the arrival to the target
+ * @param ahead the number of requests served before it
+ * @param running the number of active attempts of this VM at the endpoint set
+ * @param healthy the number of endpoints of the set that are in service and do not fail
+ * @param slots the number of usable slots of those endpoints
+ * @param meanDuration the mean duration of an attempt of its class
  */
 public record TargetEstimate(long waited, long expectedWait, long leastTime, long target, int ahead, int running,
 		int healthy, int slots, long meanDuration) {
--- a/core/src/main/java/org/acaciacourse/core/dispatch/package-info.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Decisions of an entry VM: admission, order, choice of endpoint, retry and refusal.
+ * Scheduling decisions of an entry VM: admission, ordering, endpoint selection, retry and
+ * refusal.
  */
 package org.acaciacourse.core.dispatch;
--- a/core/src/test/java/org/acaciacourse/core/dispatch/Driver.java
+++ b/core/src/test/java/org/acaciacourse/core/dispatch/Driver.java
@@ -22,7 +22,7 @@
 import org.acaciacourse.core.model.Tier;
 
 /**
- * Drives a dispatcher by hand in virtual time and records what it wants done.
+ * Drives a dispatcher in virtual time and records the actions that it requests.
  */
 final class Driver implements DispatchActions {
 
@@ -138,7 +138,7 @@
 
 	@Override
 	public void wakeAt(long nanos) {
-		// The driver ticks often enough by itself.
+		// Not needed: advance() ticks every 20 ms.
 	}
 
 }
--- a/core/src/test/java/org/acaciacourse/core/dispatch/PolicyDispatcherTests.java
+++ b/core/src/test/java/org/acaciacourse/core/dispatch/PolicyDispatcherTests.java
@@ -59,9 +59,9 @@
 	@Nested
 	class Preemption {
 
-		// A broker's question arrives while overnight work holds every slot.
-		// The overnight run is cancelled, the question is sent at once, and the
-		// overnight answer goes on where it stopped, so that no token is lost.
+		// A high-tier request arrives while low-tier work holds every slot. The low-tier
+		// attempt is cancelled, the high-tier request is sent at once, and the low-tier
+		// answer resumes at the token where it stopped, so that no token is lost.
 		@Test
 		void lowerTierIsPreemptedAndResumedLater() {
 			Driver driver = new Driver("tiered", 1, 1);
@@ -92,9 +92,9 @@
 			assertThat(driver.lastAttemptOf(id).endpoint()).isNotEqualTo(first);
 		}
 
-		// An engine freezes and its silence is noticed only after the target has passed.
-		// The request is late by no fault of its caller: it goes on elsewhere and is not
-		// refused for the target.
+		// An engine freezes, which is detected only after the target has passed. The
+		// request is late through no fault of its caller: it is retried and not refused
+		// for its target.
 		@Test
 		void usesAnotherEndpointAfterTargetHasPassed() {
 			Driver driver = new Driver("tiered", 3, 4);
@@ -106,8 +106,9 @@
 			assertThat(driver.finished).isEmpty();
 		}
 
-		// A claim note was on its way when the connection broke, so that the endpoint
-		// may have run it. A second attempt could post it twice; the caller is told.
+		// The connection breaks while a request that must not be repeated is in flight.
+		// The endpoint may have run it, and a second attempt could execute it twice; the
+		// caller gets an error instead.
 		@Test
 		void doesNotRepeatMarkedRequestThatMayHaveRun() {
 			Driver driver = new Driver("tiered", 3, 4);
@@ -153,8 +154,8 @@
 		}
 
 		/*
-		 * Requests are refused on a night without operators. The log must tell which
-		 * input refused them: the pace of the endpoints, what waited before, or lost
+		 * There may be no operator present when requests are refused, so the log must
+		 * show which input caused it: the speed of the endpoints, the queue, or lost
 		 * endpoints.
 		 */
 		@Test
@@ -187,10 +188,10 @@
 	@Nested
 	class Crash {
 
-		// One content crashes the endpoint that runs it, with an innocent request
-		// beside it. Both are retried, each apart from the other. The content crashes
-		// the second endpoint, is refused there and when it is sent again; the
-		// innocent one gets its answer.
+		// A poison request crashes its endpoint, with a harmless request beside it. Both
+		// are retried in isolation. The poison request crashes a second endpoint; its
+		// content is refused then and when it is sent again. The harmless request is
+		// answered.
 		@Test
 		void refusesContentAfterSecondCrashAndAnswersTheOther() {
 			Driver driver = new Driver("tiered", 8, 4);
--- a/core/src/test/java/org/acaciacourse/core/dispatch/RandomEventsTests.java
+++ b/core/src/test/java/org/acaciacourse/core/dispatch/RandomEventsTests.java
@@ -15,7 +15,7 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * Sends a dispatcher random events in any order and holds what must be true after each.
+ * Sends random events to a dispatcher and checks its invariants after each.
  */
 class RandomEventsTests {
 
@@ -23,9 +23,9 @@
 			AttemptOutcome.COMPLETE, AttemptOutcome.NOT_SENT, AttemptOutcome.REFUSED, AttemptOutcome.LOST,
 			AttemptOutcome.SILENT, AttemptOutcome.CRASHED, AttemptOutcome.REJECTED };
 
-	// Engines fail in every way while callers come and go and the policy is swapped.
-	// Each request gets one final answer, one that may not be repeated runs once, and
-	// nothing is sent to the endpoint that has just failed it.
+	// Engines fail in every way while callers connect and disconnect and the policy
+	// changes. Each request gets one final answer, a request that may not be repeated
+	// runs once, and no request is sent to the endpoint at which it has just failed.
 	@Property(tries = 60, seed = "17")
 	void eachRequestGetsOneAnswerAndRunsWhereItMay(@ForAll long seed) {
 		EventSequence sequence = new EventSequence(seed);
@@ -37,7 +37,7 @@
 		assertThat(sequence.driver.dispatcher.openRequests()).isEqualTo(0);
 	}
 
-	/** One run with its own books. */
+	/** One sequence of random events and the expected state. */
 	private static final class EventSequence {
 
 		private final SplittableRandom random;
@@ -132,7 +132,10 @@
 			}
 		}
 
-		/** Take in what the dispatcher wanted since the last look. */
+		/**
+		 * Checks the actions requested since the last call and updates the expected
+		 * state.
+		 */
 		private void observe() {
 			while (this.observedAttempts < this.driver.attempts.size()) {
 				Attempt attempt = this.driver.attempts.get(this.observedAttempts++);
@@ -151,7 +154,7 @@
 			}
 		}
 
-		/** Let all endpoints answer until nothing is open. */
+		/** Lets all endpoints answer until no request is open. */
 		private void completeOpenRequests() {
 			for (int i = 0; i < 5; i++) {
 				this.driver.dispatcher.endpointStatus("llm-" + i, EndpointStatus.LIVE, this.driver.now);
--- a/core/src/test/java/org/acaciacourse/core/dispatch/RecoveryTests.java
+++ b/core/src/test/java/org/acaciacourse/core/dispatch/RecoveryTests.java
@@ -8,7 +8,7 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * Tests of what a dispatcher does after a fault has passed.
+ * Tests of a dispatcher's behaviour after a fault has ended.
  */
 class RecoveryTests {
 
@@ -22,10 +22,10 @@
 	@Nested
 	class AfterSilence {
 
-		// All connections went silent once, and every first token took longer than the
-		// target. Afterwards the engines are idle and fast, but each question was refused
-		// for what had been learnt, so that nothing better could be learnt: the callers
-		// got 202 for good.
+		// All connections stalled for a while, so that every first token took longer than
+		// the target. Afterwards the engines were idle and fast, but each request was
+		// refused because of the learned times, and refused requests yield no new
+		// samples: callers got 202 permanently.
 		@Test
 		void idleEndpointIsUsedDespiteSlowEstimates() {
 			Driver driver = new Driver("tiered", 3, 8);
@@ -42,9 +42,9 @@
 	@Nested
 	class Late {
 
-		// An engine froze under a plain request. When that is noticed its target has
-		// passed, but not its deadline. The caller was refused with "unknown" beside idle
-		// engines; it gets the answer late instead.
+		// An engine froze while running a request. When this is detected, the target has
+		// passed but not the deadline. The caller was refused with "unknown" although
+		// other engines were idle; it must get a late answer instead.
 		@Test
 		void requestThatMayHaveRunIsStillAnswered() {
 			Driver driver = new Driver("tiered", 3, 1);
@@ -65,9 +65,9 @@
 	@Nested
 	class OneEndpoint {
 
-		// The only endpoint of a set refused a request once. A retry goes to another
-		// endpoint only, and there is none: the caller waited until its deadline beside
-		// an idle endpoint.
+		// The only endpoint of a set refused a request once. Retries went only to other
+		// endpoints, of which there are none: the caller waited until its deadline while
+		// the endpoint was idle.
 		@Test
 		void refusedRequestIsRetriedOnSameEndpoint() {
 			Driver driver = new Driver("tiered", 1, 8);
@@ -77,8 +77,8 @@
 			assertThat(driver.attemptCount(request)).isEqualTo(2);
 		}
 
-		// The same, but the connection was lost and the request may have run. The caller
-		// gets its answer at once and not at its deadline.
+		// As above, but the connection was lost and the request may have run. The caller
+		// must get its answer at once, not at its deadline.
 		@Test
 		void lostRequestFailsImmediately() {
 			Driver driver = new Driver("tiered", 1, 8);
--- a/core/src/test/java/org/acaciacourse/core/dispatch/SuspectsOfTwoEntriesTests.java
+++ b/core/src/test/java/org/acaciacourse/core/dispatch/SuspectsOfTwoEntriesTests.java
@@ -14,9 +14,9 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * Two entry VMs have a request each on one endpoint, and one of the two crashes whatever
- * runs it. Each VM tries its own request apart, and hears of the other one by way of
- * control.
+ * Two entry VMs each have a request on the same endpoint, and one of the requests crashes
+ * every endpoint that runs it. Each VM retries its own request in isolation and learns
+ * about the other one through the control plane.
  */
 class SuspectsOfTwoEntriesTests {
 
@@ -63,7 +63,7 @@
 		}
 	}
 
-	// The endpoint that runs the poison crashes, with all that it runs.
+	// The endpoint that runs the poison request crashes, with all its other requests.
 	private void crash(Attempt attempt) {
 		if (!this.endedAtPoisonEntry.add(attempt.id())) {
 			return;
@@ -85,7 +85,7 @@
 		}
 	}
 
-	// Control tells all VMs, the sender as well.
+	// The control plane distributes a report to all VMs, including the sender.
 	private void publish(Driver from, int arrivesAt) {
 		from.publishedSuspects.forEach((content, proven) -> {
 			if (this.publishedReports.add(List.of(content, proven))) {
@@ -117,9 +117,9 @@
 	}
 
 	/*
-	 * Control is slow, as its VMs are busy. Both entries try their requests a second
-	 * after the crash, on the same endpoint. It crashes again, and the innocent caller is
-	 * told that its content crashes endpoints.
+	 * The control plane is slow because its VMs are busy. Both entry VMs retried their
+	 * requests one second after the crash on the same endpoint. It crashed again, and the
+	 * harmless request was refused as crashing content.
 	 */
 	@Test
 	void onlyPoisonIsRefusedWithSlowReports() {
