--- a/core/src/main/java/org/acaciacourse/core/dispatch/Admission.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/Admission.java
@@ -22,7 +22,7 @@
 
 	private static final long NO_ENDPOINT_WAIT_NANOS = 2_000_000_000L;
 
-	private static final long FULL_WAIT_NANOS = 5_000_000_000L;
+	private static final long QUEUE_FULL_WAIT_NANOS = 5_000_000_000L;
 
 	private final DispatchState state;
 
@@ -59,7 +59,7 @@
 		int free = queue.settings.maxQueued() - pending.endpointSet.waitingCount();
 		boolean full = free <= 0 && !shedLowerTier(pending, queue);
 		if (full || queue.sizeOfFlow(pending) > Math.max(0, free)) {
-			return Refusal.of(ResultCode.QUEUE_FULL, FULL_WAIT_NANOS);
+			return Refusal.of(ResultCode.QUEUE_FULL, QUEUE_FULL_WAIT_NANOS);
 		}
 		return Optional.empty();
 	}
@@ -98,7 +98,7 @@
 		if (victim[0] == null) {
 			return false;
 		}
-		this.state.finish(victim[0], ResultCode.SHED, FULL_WAIT_NANOS);
+		this.state.finish(victim[0], ResultCode.SHED, QUEUE_FULL_WAIT_NANOS);
 		return true;
 	}
 
--- a/core/src/main/java/org/acaciacourse/core/dispatch/EndpointSetState.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/EndpointSetState.java
@@ -176,8 +176,8 @@
 
 	// Updates the token balance: tokens of every tier add the low tier's share to it,
 	// tokens of the low tier are deducted.
-	void accountTokens(boolean low, int count, double share) {
-		this.owedTokens += share * count - ((low) ? count : 0);
+	void accountTokens(boolean lowTier, int count, double share) {
+		this.owedTokens += share * count - ((lowTier) ? count : 0);
 		this.owedTokens = Math.max(-MAX_ADVANCE_TOKENS, Math.min(MAX_OWED_TOKENS, this.owedTokens));
 	}
 
@@ -256,8 +256,8 @@
 		this.isolationEndpoints.clear();
 		if (active) {
 			this.endpoints.stream().filter(EndpointView::isHealthy).forEach(this.isolationEndpoints::add);
-			int most = Math.max(1, this.isolationEndpoints.size() / ISOLATION_DIVISOR);
-			this.isolationEndpoints.subList(0, Math.max(0, this.isolationEndpoints.size() - most)).clear();
+			int reservedCount = Math.max(1, this.isolationEndpoints.size() / ISOLATION_DIVISOR);
+			this.isolationEndpoints.subList(0, Math.max(0, this.isolationEndpoints.size() - reservedCount)).clear();
 			boolean others = this.endpoints.size() > 1;
 			this.isolationEndpoints.forEach((endpoint) -> endpoint.reservedForIsolation = others);
 		}
--- a/core/src/main/java/org/acaciacourse/core/dispatch/PolicyDispatcher.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/PolicyDispatcher.java
@@ -33,7 +33,7 @@
 
 	private static final long REMOTE_SUSPECT_DELAY_NANOS = 15_000_000_000L;
 
-	private static final long MIN_RATE_WAIT_NANOS = 1_000_000_000L;
+	private static final long MIN_REFUSAL_WAIT_NANOS = 1_000_000_000L;
 
 	private final DispatchState state;
 
@@ -163,12 +163,12 @@
 	public void arrive(RequestInfo request, long now) {
 		Optional<ResultCode> refusal = validate(request);
 		if (refusal.isPresent()) {
-			refuse(request, refusal.get(), MIN_RATE_WAIT_NANOS);
+			refuse(request, refusal.get(), MIN_REFUSAL_WAIT_NANOS);
 			return;
 		}
 		CustomerLimit limit = this.state.limits.get(request.customer());
 		if (!limit.tryAcquire(now)) {
-			refuse(request, ResultCode.CUSTOMER_LIMIT, Math.max(MIN_RATE_WAIT_NANOS, limit.nanosToNext()));
+			refuse(request, ResultCode.CUSTOMER_LIMIT, Math.max(MIN_REFUSAL_WAIT_NANOS, limit.nanosToNext()));
 			return;
 		}
 		Manifest manifest = this.state.manifest;
--- a/core/src/test/java/org/acaciacourse/core/dispatch/SuspectsOfTwoEntriesTests.java
+++ b/core/src/test/java/org/acaciacourse/core/dispatch/SuspectsOfTwoEntriesTests.java
@@ -72,8 +72,8 @@
 		this.poisonEntry.endAttempt(attempt, AttemptOutcome.CRASHED);
 		List.copyOf(this.otherEntry.attempts)
 			.stream()
-			.filter((beside) -> beside.endpoint().equals(attempt.endpoint()) && this.endedAtOtherEntry.add(beside.id()))
-			.forEach((beside) -> this.otherEntry.endAttempt(beside, AttemptOutcome.CRASHED));
+			.filter((other) -> other.endpoint().equals(attempt.endpoint()) && this.endedAtOtherEntry.add(other.id()))
+			.forEach((other) -> this.otherEntry.endAttempt(other, AttemptOutcome.CRASHED));
 	}
 
 	private void completeOldAttempts() {
@@ -87,10 +87,10 @@
 
 	// The control plane distributes a report to all VMs, including the sender.
 	private void publish(Driver from, int arrivesAt) {
-		from.publishedSuspects.forEach((content, proven) -> {
-			if (this.publishedReports.add(List.of(content, proven))) {
-				this.reportsInTransit.add(new CrashReport(this.poisonEntry, content, proven, arrivesAt));
-				this.reportsInTransit.add(new CrashReport(this.otherEntry, content, proven, arrivesAt));
+		from.publishedSuspects.forEach((content, crashCount) -> {
+			if (this.publishedReports.add(List.of(content, crashCount))) {
+				this.reportsInTransit.add(new CrashReport(this.poisonEntry, content, crashCount, arrivesAt));
+				this.reportsInTransit.add(new CrashReport(this.otherEntry, content, crashCount, arrivesAt));
 			}
 		});
 	}
