--- a/core/src/main/java/org/acaciacourse/core/balance/BriefEngines.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/BriefEngines.java
@@ -24,42 +24,42 @@
 final class BriefEngines {
 
 	/** With fewer endpoints a crash would leave one of the two kinds without any. */
-	private static final int LEAST_TO_DIVIDE = 4;
+	private static final int MIN_ENDPOINTS_TO_DIVIDE = 4;
 
 	/** Over what time the waiting work is taken: prompts come in clumps. */
 	private static final double SMOOTHING_NANOS = 500_000_000;
 
 	/** Digests of the other entries take some hundred milliseconds to show a change. */
-	private static final long SETTLE_NANOS = 500_000_000L;
+	private static final long MIN_RESIZE_INTERVAL_NANOS = 500_000_000L;
 
 	/**
 	 * How often it is looked at, at most: every request would take time for nothing.
 	 */
-	private static final long STEP_NANOS = 20_000_000L;
+	private static final long MIN_UPDATE_INTERVAL_NANOS = 20_000_000L;
 
 	/**
 	 * How many change at a time, at most, as a part of all engines: what runs on fewer of
 	 * them runs longer, which shows only then. With one at a time a hundred engines are
 	 * behind a burst for as long as it lasts.
 	 */
-	private static final int CHANGE_PART = 8;
+	private static final int RESIZE_DIVISOR = 8;
 
 	private RoutingPolicy policy = RoutingPolicy.DEFAULT;
 
-	private List<EndpointLoad> order = List.of();
+	private List<EndpointLoad> enginesByHash = List.of();
 
-	private final Set<EndpointLoad> brief = new HashSet<>();
+	private final Set<EndpointLoad> reserved = new HashSet<>();
 
 	// 0 before there are endpoints.
-	private int size;
+	private int targetSize;
 
-	private double waiting;
+	private double smoothedWaitingWork;
 
-	private int running;
+	private int runningBrief;
 
-	private long seenAt = Long.MIN_VALUE / 2;
+	private long updatedAt = Long.MIN_VALUE / 2;
 
-	private long changedAt = Long.MIN_VALUE / 2;
+	private long resizedAt = Long.MIN_VALUE / 2;
 
 	/**
 	 * Set how the number of engines is found from now on.
@@ -68,7 +68,7 @@
 	 */
 	void policy(RoutingPolicy next, Collection<EndpointLoad> loads) {
 		this.policy = next;
-		this.size = 0;
+		this.targetSize = 0;
 		divide(loads);
 	}
 
@@ -77,36 +77,37 @@
 	 * @param loads the endpoints
 	 */
 	void divide(Collection<EndpointLoad> loads) {
-		this.order = loads.stream()
+		this.enginesByHash = loads.stream()
 			.filter((load) -> !load.endpoint().leaving())
 			.sorted(Comparator.comparingLong(EndpointLoad::hash))
 			.toList();
-		if (this.size == 0) {
-			this.size = (int) Math.max(1, Math.round(this.order.size() * value(RoutingParameter.FIRST_BRIEF_SHARE)));
+		if (this.targetSize == 0) {
+			this.targetSize = (int) Math.max(1,
+					Math.round(this.enginesByHash.size() * value(RoutingParameter.FIRST_BRIEF_SHARE)));
 		}
-		this.size = Math.min(this.size, this.order.size() / 2);
-		this.brief.clear();
-		if (this.order.size() >= LEAST_TO_DIVIDE && this.policy.isOn(RoutingMechanism.BRIEF_ENGINES)) {
-			this.order.stream().limit(this.size).forEach(this.brief::add);
+		this.targetSize = Math.min(this.targetSize, this.enginesByHash.size() / 2);
+		this.reserved.clear();
+		if (this.enginesByHash.size() >= MIN_ENDPOINTS_TO_DIVIDE && this.policy.isOn(RoutingMechanism.BRIEF_ENGINES)) {
+			this.enginesByHash.stream().limit(this.targetSize).forEach(this.reserved::add);
 		}
 	}
 
 	// The next ones stand in for those that are lost: brief requests would be spread over
 	// all engines for long prompts otherwise, and be late there.
-	private void pick(long now) {
-		boolean standIns = this.policy.isOn(RoutingMechanism.BRIEF_STAND_INS);
-		this.brief.clear();
-		for (EndpointLoad load : this.order) {
-			if (this.brief.size() < this.size && (!standIns || isSound(load, now))) {
-				this.brief.add(load);
+	private void selectReserved(long now) {
+		boolean useStandIns = this.policy.isOn(RoutingMechanism.BRIEF_STAND_INS);
+		this.reserved.clear();
+		for (EndpointLoad load : this.enginesByHash) {
+			if (this.reserved.size() < this.targetSize && (!useStandIns || isHealthy(load, now))) {
+				this.reserved.add(load);
 			}
 		}
-		if (this.brief.isEmpty()) {
-			this.brief.add(this.order.get(0));
+		if (this.reserved.isEmpty()) {
+			this.reserved.add(this.enginesByHash.get(0));
 		}
 	}
 
-	private boolean isSound(EndpointLoad load, long now) {
+	private boolean isHealthy(EndpointLoad load, long now) {
 		return !load.isLost() && !(this.policy.isOn(RoutingMechanism.SUSPECTS) && load.isSuspect(now));
 	}
 
@@ -114,75 +115,77 @@
 	 * Let the number of engines follow what runs and waits at all entries.
 	 * @param now the time
 	 */
-	void follow(long now) {
-		if (this.brief.isEmpty() || now - this.seenAt < STEP_NANOS) {
+	void update(long now) {
+		if (this.reserved.isEmpty() || now - this.updatedAt < MIN_UPDATE_INTERVAL_NANOS) {
 			return;
 		}
-		pick(now);
-		measure(now);
-		if (now - this.changedAt < SETTLE_NANOS || !this.policy.isOn(RoutingMechanism.BRIEF_ENGINES_FOLLOW_LOAD)) {
+		selectReserved(now);
+		measureLoad(now);
+		if (now - this.resizedAt < MIN_RESIZE_INTERVAL_NANOS
+				|| !this.policy.isOn(RoutingMechanism.BRIEF_ENGINES_FOLLOW_LOAD)) {
 			return;
 		}
-		double most = value((this.waiting < value(RoutingParameter.CALM_WORK)) ? RoutingParameter.LEAST_FILLED
-				: RoutingParameter.MOST_FILLED);
-		if (this.running > most * slots(this.size)) {
-			int next = Math.max(this.size + 1, Math.min(this.size + mostChange(), needed(most)));
-			change(Math.min(this.order.size() / 2, next), now);
+		double maxFilled = value((this.smoothedWaitingWork < value(RoutingParameter.CALM_WORK))
+				? RoutingParameter.LEAST_FILLED : RoutingParameter.MOST_FILLED);
+		if (this.runningBrief > maxFilled * slotsOf(this.targetSize)) {
+			int next = Math.max(this.targetSize + 1, Math.min(this.targetSize + maxResize(), enginesNeeded(maxFilled)));
+			resize(Math.min(this.enginesByHash.size() / 2, next), now);
 		}
-		else if (this.waiting > value(RoutingParameter.PRESSED_WORK) && this.size > 1
-				&& this.running < value(RoutingParameter.FILLED_AFTER) * slots(this.size - 1)) {
-			int next = Math.max(this.size - mostChange(), needed(value(RoutingParameter.FILLED_AFTER)));
-			change(Math.max(1, Math.min(this.size - 1, next)), now);
+		else if (this.smoothedWaitingWork > value(RoutingParameter.PRESSED_WORK) && this.targetSize > 1
+				&& this.runningBrief < value(RoutingParameter.FILLED_AFTER) * slotsOf(this.targetSize - 1)) {
+			int next = Math.max(this.targetSize - maxResize(), enginesNeeded(value(RoutingParameter.FILLED_AFTER)));
+			resize(Math.max(1, Math.min(this.targetSize - 1, next)), now);
 		}
 	}
 
-	private int mostChange() {
-		return Math.max(1, this.order.size() / CHANGE_PART);
+	private int maxResize() {
+		return Math.max(1, this.enginesByHash.size() / RESIZE_DIVISOR);
 	}
 
 	// How many engines the brief requests fill to a part of their slots.
-	private int needed(double filled) {
-		double slotsEach = (double) slots(this.order.size()) / this.order.size();
-		return (int) Math.ceil(this.running / (filled * slotsEach));
+	private int enginesNeeded(double filled) {
+		double slotsEach = (double) slotsOf(this.enginesByHash.size()) / this.enginesByHash.size();
+		return (int) Math.ceil(this.runningBrief / (filled * slotsEach));
 	}
 
 	private double value(RoutingParameter parameter) {
 		return this.policy.value(parameter);
 	}
 
-	private void measure(long now) {
-		double next = this.order.stream()
-			.filter((load) -> !this.brief.contains(load))
+	private void measureLoad(long now) {
+		double next = this.enginesByHash.stream()
+			.filter((load) -> !this.reserved.contains(load))
 			.mapToLong(EndpointLoad::waitingWork)
 			.average()
 			.orElse(0);
-		this.waiting += (next - this.waiting) * (1 - Math.exp((this.seenAt - now) / SMOOTHING_NANOS));
-		this.seenAt = now;
-		this.running = this.order.stream().mapToInt(EndpointLoad::brief).sum();
+		this.smoothedWaitingWork += (next - this.smoothedWaitingWork)
+				* (1 - Math.exp((this.updatedAt - now) / SMOOTHING_NANOS));
+		this.updatedAt = now;
+		this.runningBrief = this.enginesByHash.stream().mapToInt(EndpointLoad::briefRunning).sum();
 	}
 
-	private void change(int next, long now) {
-		if (next != this.size) {
-			this.size = next;
-			this.changedAt = now;
-			pick(now);
+	private void resize(int next, long now) {
+		if (next != this.targetSize) {
+			this.targetSize = next;
+			this.resizedAt = now;
+			selectReserved(now);
 		}
 	}
 
-	private int slots(int engines) {
-		return this.order.stream().limit(engines).mapToInt((load) -> load.endpoint().slots()).sum();
+	private int slotsOf(int engines) {
+		return this.enginesByHash.stream().limit(engines).mapToInt((load) -> load.endpoint().slots()).sum();
 	}
 
 	boolean contains(EndpointLoad load) {
-		return this.brief.contains(load);
+		return this.reserved.contains(load);
 	}
 
 	/**
 	 * Tell what is believed, for the log.
 	 * @return the division as it was looked at last
 	 */
-	PoolBalancer.Division told() {
-		return new PoolBalancer.Division(this.brief.size(), this.running, Math.round(this.waiting));
+	PoolBalancer.Division division() {
+		return new PoolBalancer.Division(this.reserved.size(), this.runningBrief, Math.round(this.smoothedWaitingWork));
 	}
 
 	/**
@@ -190,7 +193,7 @@
 	 * @return false if it has too few endpoints
 	 */
 	boolean isDivided() {
-		return !this.brief.isEmpty();
+		return !this.reserved.isEmpty();
 	}
 
 }
--- a/core/src/main/java/org/acaciacourse/core/balance/ChoiceSample.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/CandidateSampler.java
@@ -13,23 +13,23 @@
  * <p>
  * Not thread safe: belongs to one {@link PoolBalancer}.
  */
-final class ChoiceSample {
+final class CandidateSampler {
 
 	private static final LongHashFunction HASH = LongHashFunction.xx3();
 
 	/** The best of one is no choice. */
-	private static final int LEAST = 2;
+	private static final int MIN_CANDIDATES = 2;
 
 	/** Over what time requests are counted: longer than the clumps that callers send. */
-	private static final double RATE_SECONDS = 1;
+	private static final double RATE_WINDOW_SECONDS = 1;
 
 	private final PeerLoads peers;
 
-	private double perSecond;
+	private double requestsPerSecond;
 
-	private long sentAt;
+	private long updatedAt;
 
-	ChoiceSample(PeerLoads peers) {
+	CandidateSampler(PeerLoads peers) {
 		this.peers = peers;
 	}
 
@@ -37,28 +37,28 @@
 	 * This VM sent a request.
 	 * @param now the time
 	 */
-	void sent(long now) {
-		this.perSecond = perSecond(now) + 1 / RATE_SECONDS;
-		this.sentAt = now;
+	void requestSent(long now) {
+		this.requestsPerSecond = requestsPerSecond(now) + 1 / RATE_WINDOW_SECONDS;
+		this.updatedAt = now;
 	}
 
-	private double perSecond(long now) {
-		double age = Math.max(0, now - this.sentAt) / 1e9;
-		return this.perSecond * Math.exp(-age / RATE_SECONDS);
+	private double requestsPerSecond(long now) {
+		double age = Math.max(0, now - this.updatedAt) / 1e9;
+		return this.requestsPerSecond * Math.exp(-age / RATE_WINDOW_SECONDS);
 	}
 
 	/**
 	 * Return the share of endpoints to compare. The best of a share of them is the best
 	 * for that share of the untold requests.
-	 * @param bearable how many untold requests one endpoint may get
+	 * @param maxUnreported how many untold requests one endpoint may get
 	 * @param now the time
 	 * @return the share, 1 for all
 	 */
-	double share(double bearable, long now) {
+	double share(double maxUnreported, long now) {
 		// Callers are spread over the entry VMs, so that the others send what this one
 		// does; a digest is half its pause old in the mean.
-		double untold = perSecond(now) * this.peers.count() * this.peers.pauseNanos() / 2e9;
-		return (untold <= bearable) ? 1 : bearable / untold;
+		double unreported = requestsPerSecond(now) * this.peers.peerCount() * this.peers.intervalNanos() / 2e9;
+		return (unreported <= maxUnreported) ? 1 : maxUnreported / unreported;
 	}
 
 	/**
@@ -71,9 +71,9 @@
 
 		private final int size;
 
-		private final int from;
+		private final int start;
 
-		private int asked;
+		private int visited;
 
 		/**
 		 * Make a draw.
@@ -83,17 +83,17 @@
 		 */
 		Draw(double share, int endpoints, long salt) {
 			this.endpoints = Math.max(1, endpoints);
-			this.size = Math.max(LEAST, (int) Math.ceil(share * endpoints));
-			this.from = Math.floorMod(HASH.hashLong(salt), this.endpoints);
+			this.size = Math.max(MIN_CANDIDATES, (int) Math.ceil(share * endpoints));
+			this.start = Math.floorMod(HASH.hashLong(salt), this.endpoints);
 		}
 
 		/**
 		 * Return whether the next endpoint is drawn.
 		 * @return whether to compare it
 		 */
-		boolean next() {
-			int position = Math.floorMod(this.asked - this.from, this.endpoints);
-			this.asked++;
+		boolean isNextDrawn() {
+			int position = Math.floorMod(this.visited - this.start, this.endpoints);
+			this.visited++;
 			return position < this.size;
 		}
 
--- a/core/src/main/java/org/acaciacourse/core/balance/EndpointLoad.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/EndpointLoad.java
@@ -19,49 +19,49 @@
 	 * For how long a report of an endpoint's load counts: engines tell their load some
 	 * hundred milliseconds late, and requests last seconds.
 	 */
-	private static final long REPORT_NANOS = 1_500_000_000L;
+	private static final long REPORT_VALIDITY_NANOS = 1_500_000_000L;
 
 	/** The first pause after a failed connection. */
-	private static final long FIRST_PAUSE_NANOS = 250_000_000L;
+	private static final long MIN_PAUSE_NANOS = 250_000_000L;
 
 	/** The longest pause: an endpoint that is back is found again within it. */
-	private static final long LONGEST_PAUSE_NANOS = 2_000_000_000L;
+	private static final long MAX_PAUSE_NANOS = 2_000_000_000L;
 
 	/** Weight of a new outcome in the failure rate: some ten outcomes make a verdict. */
 	private static final double FAILURE_WEIGHT = 0.15;
 
 	/** Faults of part of the answers last for seconds. */
-	private static final double FADE_SECONDS = 3;
+	private static final double FAILURE_DECAY_SECONDS = 3;
 
 	/**
 	 * An engine sends an event of each answer for every few steps of its batch, of which
 	 * one takes 35 ms with a full batch and a prompt that is read beside it.
 	 */
-	private static final long SUSPECT_NANOS = 400_000_000L;
+	private static final long SUSPECT_AFTER_NANOS = 400_000_000L;
 
 	private final PeerLoads peers;
 
-	private final int name;
+	private final int id;
 
 	private final long hash;
 
 	private FleetEndpoint endpoint;
 
-	private final PromptMemory memory = new PromptMemory();
+	private final PrefixCacheModel prefixCache = new PrefixCacheModel();
 
 	private int inFlight;
 
-	private int brief;
+	private int briefInFlight;
 
 	private int streams;
 
-	private long heardAt = Long.MIN_VALUE / 2;
+	private long lastActivityAt = Long.MIN_VALUE / 2;
 
 	private long waitingWork;
 
 	private long deferredWork;
 
-	private int reportedOthers;
+	private int reportedByOthers;
 
 	private int reportedWaiting;
 
@@ -71,14 +71,14 @@
 
 	private long failureAt = Long.MIN_VALUE / 2;
 
-	private int lostInARow;
+	private int consecutiveLosses;
 
 	private long pausedUntil = Long.MIN_VALUE / 2;
 
 	EndpointLoad(FleetEndpoint endpoint, PeerLoads peers) {
 		this.endpoint = endpoint;
 		this.peers = peers;
-		this.name = PeerLoads.nameOf(endpoint.instance());
+		this.id = PeerLoads.idOf(endpoint.instance());
 		this.hash = HASH.hashBytes(endpoint.instance().getBytes(StandardCharsets.UTF_8));
 	}
 
@@ -86,12 +86,12 @@
 		return this.endpoint;
 	}
 
-	PromptMemory memory() {
-		return this.memory;
+	PrefixCacheModel prefixCache() {
+		return this.prefixCache;
 	}
 
-	int name() {
-		return this.name;
+	int id() {
+		return this.id;
 	}
 
 	// The same at all entry VMs.
@@ -115,11 +115,11 @@
 	}
 
 	// The prompt was read: the first event came, or the request ended before.
-	void promptRead(long work) {
+	void prefillDone(long work) {
 		this.waitingWork = Math.max(0, this.waitingWork - work);
 	}
 
-	void deferredRead(long work) {
+	void deferredPrefillDone(long work) {
 		this.deferredWork = Math.max(0, this.deferredWork - work);
 	}
 
@@ -129,16 +129,16 @@
 	}
 
 	void briefBegan() {
-		this.brief++;
+		this.briefInFlight++;
 	}
 
 	void briefEnded() {
-		this.brief = Math.max(0, this.brief - 1);
+		this.briefInFlight = Math.max(0, this.briefInFlight - 1);
 	}
 
 	// The brief requests there of all VMs, as far as they tell.
-	int brief() {
-		return this.brief + this.peers.brief(this.name);
+	int briefRunning() {
+		return this.briefInFlight + this.peers.brief(this.id);
 	}
 
 	// An answer began to come, of which something is due every few steps.
@@ -150,24 +150,24 @@
 		this.streams = Math.max(0, this.streams - 1);
 	}
 
-	void heard(long now) {
-		this.heardAt = now;
+	void recordActivity(long now) {
+		this.lastActivityAt = now;
 	}
 
 	// When anything came from the endpoint last, on any connection.
-	long heardAt() {
-		return this.heardAt;
+	long lastActivityAt() {
+		return this.lastActivityAt;
 	}
 
 	// An engine that went dark is not found by its connections for seconds; answers that
 	// stopped in the middle tell it in a fraction of one.
 	boolean isSuspect(long now) {
-		return this.streams > 0 && now - this.heardAt > SUSPECT_NANOS;
+		return this.streams > 0 && now - this.lastActivityAt > SUSPECT_AFTER_NANOS;
 	}
 
 	// Whether it could not be reached the last time, or broke off.
 	boolean isLost() {
-		return this.lostInARow > 0;
+		return this.consecutiveLosses > 0;
 	}
 
 	void end() {
@@ -175,14 +175,14 @@
 	}
 
 	void report(int running, int waiting, long now) {
-		this.reportedOthers = Math.max(0, running + waiting - this.inFlight);
+		this.reportedByOthers = Math.max(0, running + waiting - this.inFlight);
 		this.reportedWaiting = waiting;
 		this.reportedAt = now;
 	}
 
 	void succeeded() {
 		this.failureRate *= 1 - FAILURE_WEIGHT;
-		this.lostInARow = 0;
+		this.consecutiveLosses = 0;
 		this.pausedUntil = Long.MIN_VALUE / 2;
 	}
 
@@ -194,8 +194,8 @@
 	// No connection, or one that broke or went silent.
 	void lost(long now) {
 		failed(now);
-		long pause = Math.min(LONGEST_PAUSE_NANOS, FIRST_PAUSE_NANOS << Math.min(this.lostInARow, 8));
-		this.lostInARow++;
+		long pause = Math.min(MAX_PAUSE_NANOS, MIN_PAUSE_NANOS << Math.min(this.consecutiveLosses, 8));
+		this.consecutiveLosses++;
 		this.pausedUntil = now + pause;
 	}
 
@@ -214,31 +214,31 @@
 
 	// The work that waits there for all VMs, as far as they tell.
 	long waitingWork() {
-		return this.waitingWork + this.peers.waitingWork(this.name);
+		return this.waitingWork + this.peers.waitingWork(this.id);
 	}
 
-	PeerLoads.Load own() {
-		return new PeerLoads.Load(this.name, this.inFlight, this.waitingWork, this.brief);
+	PeerLoads.Load localLoad() {
+		return new PeerLoads.Load(this.id, this.inFlight, this.waitingWork, this.briefInFlight);
 	}
 
 	// Own requests, and those of others as far as they, or a fresh report, tell.
 	int running(long now) {
 		if (this.peers.isTold()) {
-			return this.inFlight + this.peers.inFlight(this.name);
+			return this.inFlight + this.peers.inFlight(this.id);
 		}
-		boolean fresh = now - this.reportedAt < REPORT_NANOS;
-		return this.inFlight + ((fresh) ? this.reportedOthers : 0);
+		boolean fresh = now - this.reportedAt < REPORT_VALIDITY_NANOS;
+		return this.inFlight + ((fresh) ? this.reportedByOthers : 0);
 	}
 
 	int waiting(long now) {
-		boolean fresh = now - this.reportedAt < REPORT_NANOS;
+		boolean fresh = now - this.reportedAt < REPORT_VALIDITY_NANOS;
 		return (fresh && !this.peers.isTold()) ? this.reportedWaiting : 0;
 	}
 
 	// The failure rate fades, so that an endpoint that is well again gets its share.
 	double failureRate(long now) {
 		double age = (now - this.failureAt) / 1e9;
-		return this.failureRate * Math.exp(-Math.max(0, age) / FADE_SECONDS);
+		return this.failureRate * Math.exp(-Math.max(0, age) / FAILURE_DECAY_SECONDS);
 	}
 
 }
--- /dev/null
+++ b/core/src/main/java/org/acaciacourse/core/balance/HomeEndpoints.java
@@ -0,0 +1,97 @@
+package org.acaciacourse.core.balance;
+
+import java.util.List;
+import java.util.Optional;
+import java.util.function.Predicate;
+
+import net.openhft.hashing.LongHashFunction;
+
+/**
+ * The two endpoints that rendezvous hashing (Thaler and Ravishankar, 1998) ranks highest
+ * for the shared parts of a prompt, the same at all entry VMs. Two choices keep the
+ * queues of a skewed load even where one does not (Mitzenmacher, The Power of Two Choices
+ * in Randomized Load Balancing, 2001), and two places for a part keep the number of its
+ * copies bounded.
+ * <p>
+ * Immutable and thread safe.
+ *
+ * @param primary the endpoint that reads the parts, none if the prompt shares none
+ * @param secondary the one that helps it
+ * @param cached whether the first one has read the parts already
+ */
+record HomeEndpoints(Optional<EndpointLoad> primary, Optional<EndpointLoad> secondary, boolean cached) {
+
+	static final HomeEndpoints NONE = new HomeEndpoints(Optional.empty(), Optional.empty(), false);
+
+	private static final LongHashFunction HASH = LongHashFunction.xx3();
+
+	/**
+	 * Find the homes of a prompt.
+	 * @param shape the prompt
+	 * @param usable the endpoints that may get it
+	 * @param eligible tells which of them may be a home
+	 * @return the homes
+	 */
+	static HomeEndpoints of(PromptShape shape, List<EndpointLoad> usable, Predicate<EndpointLoad> eligible) {
+		long key = shape.sharedId();
+		EndpointLoad primary = null;
+		EndpointLoad secondary = null;
+		long highest = 0;
+		long secondHighest = 0;
+		for (EndpointLoad load : usable) {
+			if (!eligible.test(load)) {
+				continue;
+			}
+			long weight = HASH.hashLong(key ^ Long.rotateLeft(load.hash(), 32));
+			if (primary == null || Long.compareUnsigned(weight, highest) > 0) {
+				secondary = primary;
+				secondHighest = highest;
+				primary = load;
+				highest = weight;
+			}
+			else if (secondary == null || Long.compareUnsigned(weight, secondHighest) > 0) {
+				secondary = load;
+				secondHighest = weight;
+			}
+		}
+		boolean cached = primary != null && primary.prefixCache().cachedTokens(shape) == shape.sharedTokens();
+		return new HomeEndpoints(Optional.ofNullable(primary), Optional.ofNullable(secondary), cached);
+	}
+
+	/**
+	 * Return by how much the queue of the first one is longer.
+	 * @return the difference in prompt tokens, 0 without a second one
+	 */
+	long queueDifference() {
+		return this.secondary.map((other) -> this.primary.get().waitingWork() - other.waitingWork()).orElse(0L);
+	}
+
+	HomeEndpoints withoutSecondary() {
+		return new HomeEndpoints(this.primary, Optional.empty(), this.cached);
+	}
+
+	boolean contains(EndpointLoad load) {
+		return matches(this.primary, load) || matches(this.secondary, load);
+	}
+
+	private static boolean matches(Optional<EndpointLoad> home, EndpointLoad load) {
+		return home.isPresent() && home.get() == load;
+	}
+
+	/**
+	 * Return what an endpoint is to the parts.
+	 * @param load the endpoint
+	 * @param cachesAll whether it holds all of them
+	 * @return what it is; where there are no homes all are the first one
+	 */
+	HomeRole role(EndpointLoad load, boolean cachesAll) {
+		if (cachesAll || this.primary.isEmpty() || matches(this.primary, load)) {
+			return HomeRole.PRIMARY;
+		}
+		if (matches(this.secondary, load)) {
+			return (this.cached) ? HomeRole.SECONDARY : HomeRole.PRIMARY;
+		}
+		return HomeRole.NONE;
+	}
+
+}
--- a/core/src/main/java/org/acaciacourse/core/balance/HomeOfParts.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/HomeRole.java
@@ -5,13 +5,13 @@
  * <p>
  * Immutable and thread safe.
  */
-enum HomeOfParts {
+enum HomeRole {
 
 	/** It holds them, or is the one to read them. */
-	FIRST,
+	PRIMARY,
 
 	/** It reads them once more if the queue of the first one is long. */
-	SECOND,
+	SECONDARY,
 
 	/** They are read there only if nothing else is left. */
 	NONE
--- a/core/src/main/java/org/acaciacourse/core/balance/IdleLimit.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/IdleLimit.java
@@ -13,7 +13,7 @@
 public final class IdleLimit {
 
 	/** Shorter rests are not the cause: requests follow each other within them. */
-	private static final long LEAST_RESTED_NANOS = 50_000_000L;
+	private static final long MIN_IDLE_NANOS = 50_000_000L;
 
 	/** An endpoint resets such a connection at once; a crash may hit at any time. */
 	private static final long RESET_WITHIN_NANOS = 50_000_000L;
@@ -22,19 +22,19 @@
 	 * The limit as a part of the rest after which a connection was lost. Drawn evenly, a
 	 * rest that was too long is twice the bound in the mean.
 	 */
-	private static final double SHARE = 0.5;
+	private static final double LIMIT_FRACTION = 0.5;
 
 	/**
 	 * How long the lesson holds. A new connection costs milliseconds, a lost request all
 	 * of its worth.
 	 */
-	private static final long REMEMBERED_NANOS = 10_000_000_000L;
+	private static final long VALIDITY_NANOS = 10_000_000_000L;
 
 	/**
 	 * Losses within this time have one cause. An endpoint that loses a few answers in a
 	 * hundred is met again much later.
 	 */
-	private static final long RELATED_NANOS = 3_000_000_000L;
+	private static final long CORRELATION_NANOS = 3_000_000_000L;
 
 	private static final long NEVER = Long.MIN_VALUE / 2;
 
@@ -42,27 +42,27 @@
 
 	private long learnedAt = NEVER;
 
-	private long suspicion = Long.MAX_VALUE;
+	private long candidateLimit = Long.MAX_VALUE;
 
-	private long suspectedAt = NEVER;
+	private long candidateAt = NEVER;
 
 	/**
 	 * A request on a kept connection was lost without any answer.
-	 * @param rested how long the connection had been idle before
-	 * @param took the time from the request to the loss
+	 * @param idle how long the connection had been idle before
+	 * @param elapsed the time from the request to the loss
 	 * @param now the time
 	 */
-	public void lost(long rested, long took, long now) {
-		if (rested < LEAST_RESTED_NANOS || took > RESET_WITHIN_NANOS) {
+	public void lost(long idle, long elapsed, long now) {
+		if (idle < MIN_IDLE_NANOS || elapsed > RESET_WITHIN_NANOS) {
 			return;
 		}
-		long next = (long) (rested * SHARE);
-		if (now - this.suspectedAt < RELATED_NANOS) {
-			this.limit = Math.min(limit(now), Math.min(next, this.suspicion));
+		long next = (long) (idle * LIMIT_FRACTION);
+		if (now - this.candidateAt < CORRELATION_NANOS) {
+			this.limit = Math.min(limit(now), Math.min(next, this.candidateLimit));
 			this.learnedAt = now;
 		}
-		this.suspicion = next;
-		this.suspectedAt = now;
+		this.candidateLimit = next;
+		this.candidateAt = now;
 	}
 
 	/**
@@ -71,7 +71,7 @@
 	 * @return nanoseconds, {@link Long#MAX_VALUE} if nothing was lost lately
 	 */
 	public long limit(long now) {
-		return (now - this.learnedAt < REMEMBERED_NANOS) ? this.limit : Long.MAX_VALUE;
+		return (now - this.learnedAt < VALIDITY_NANOS) ? this.limit : Long.MAX_VALUE;
 	}
 
 }
--- a/core/src/main/java/org/acaciacourse/core/balance/LoadDigest.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/LoadDigest.java
@@ -23,10 +23,10 @@
 		List<PartUse> uses, Map<Integer, Long> heard) {
 
 	/** Endpoints in a part, which takes less than a packet with the rest. */
-	private static final int MAX_LOADS = 60;
+	private static final int MAX_LOADS_PER_PART = 60;
 
 	/** Uses in a part. */
-	static final int MAX_USES = 30;
+	static final int MAX_USES_PER_PART = 30;
 
 	/**
 	 * Uses beyond these parts are not told: what they name is read once more at worst.
@@ -55,7 +55,7 @@
 		return new LoadDigest(kind, sequence, 0, 1, vms, loads, uses, Map.of());
 	}
 
-	LoadDigest with(Map<Integer, Long> reports) {
+	LoadDigest withAcknowledged(Map<Integer, Long> reports) {
 		return new LoadDigest(this.kind, this.sequence, this.part, this.parts, this.vms, this.loads, this.uses,
 				reports);
 	}
@@ -65,23 +65,24 @@
 	 * @return the parts, at least one
 	 */
 	List<LoadDigest> split() {
-		int needed = Math.max(pieces(this.loads.size(), MAX_LOADS), pieces(this.uses.size(), MAX_USES));
+		int needed = Math.max(chunkCount(this.loads.size(), MAX_LOADS_PER_PART),
+				chunkCount(this.uses.size(), MAX_USES_PER_PART));
 		int count = Math.max(1, Math.min(MAX_PARTS, needed));
 		List<LoadDigest> all = new ArrayList<>(count);
 		for (int i = 0; i < count; i++) {
-			all.add(new LoadDigest(this.kind, this.sequence, i, count, this.vms, piece(this.loads, i, MAX_LOADS),
-					piece(this.uses, i, MAX_USES), this.heard));
+			all.add(new LoadDigest(this.kind, this.sequence, i, count, this.vms,
+					chunk(this.loads, i, MAX_LOADS_PER_PART), chunk(this.uses, i, MAX_USES_PER_PART), this.heard));
 		}
 		return all;
 	}
 
-	private static int pieces(int size, int most) {
-		return (size + most - 1) / most;
+	private static int chunkCount(int size, int chunkSize) {
+		return (size + chunkSize - 1) / chunkSize;
 	}
 
-	private static <T> List<T> piece(List<T> all, int index, int most) {
-		int from = Math.min(all.size(), index * most);
-		return all.subList(from, Math.min(all.size(), from + most));
+	private static <T> List<T> chunk(List<T> all, int index, int chunkSize) {
+		int from = Math.min(all.size(), index * chunkSize);
+		return all.subList(from, Math.min(all.size(), from + chunkSize));
 	}
 
 	/** What a digest covers. */
--- a/core/src/main/java/org/acaciacourse/core/balance/Outcome.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/Outcome.java
@@ -10,7 +10,7 @@
 	/** It answered. */
 	GOOD {
 		@Override
-		void tell(EndpointLoad load, long now) {
+		void apply(EndpointLoad load, long now) {
 			load.succeeded();
 		}
 	},
@@ -18,7 +18,7 @@
 	/** It answered with a failure of its own. */
 	FAILED {
 		@Override
-		void tell(EndpointLoad load, long now) {
+		void apply(EndpointLoad load, long now) {
 			load.failed(now);
 		}
 	},
@@ -26,7 +26,7 @@
 	/** It could not be reached, broke off or went silent. */
 	LOST {
 		@Override
-		void tell(EndpointLoad load, long now) {
+		void apply(EndpointLoad load, long now) {
 			load.lost(now);
 		}
 	},
@@ -34,16 +34,16 @@
 	/** Nobody listens at its address: its process is gone, and what it held. */
 	GONE {
 		@Override
-		void tell(EndpointLoad load, long now) {
+		void apply(EndpointLoad load, long now) {
 			load.lost(now);
-			load.memory().forget();
+			load.prefixCache().clear();
 		}
 	},
 
 	/** It is full. */
 	FULL {
 		@Override
-		void tell(EndpointLoad load, long now) {
+		void apply(EndpointLoad load, long now) {
 			load.refused(now, Pause.FULL_NANOS);
 		}
 	},
@@ -51,7 +51,7 @@
 	/** It is leaving, or another one has its address now. */
 	LEAVING {
 		@Override
-		void tell(EndpointLoad load, long now) {
+		void apply(EndpointLoad load, long now) {
 			load.refused(now, Pause.LEAVING_NANOS);
 		}
 	},
@@ -59,11 +59,11 @@
 	/** Nothing: the caller went away, or the time was over. */
 	UNKNOWN {
 		@Override
-		void tell(EndpointLoad load, long now) {
+		void apply(EndpointLoad load, long now) {
 		}
 	};
 
-	abstract void tell(EndpointLoad load, long now);
+	abstract void apply(EndpointLoad load, long now);
 
 	// Constants of an enum can't be read by its values: they are made first.
 	private static final class Pause {
--- a/core/src/main/java/org/acaciacourse/core/balance/PartUse.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/PartUse.java
@@ -7,7 +7,7 @@
  * <p>
  * Immutable and thread safe.
  *
- * @param endpoint the short name of the endpoint, {@link PeerLoads#nameOf}
+ * @param endpoint the short name of the endpoint, {@link PeerLoads#idOf}
  * @param part the part
  */
 public record PartUse(int endpoint, PromptShape.Part part) {
--- a/core/src/main/java/org/acaciacourse/core/balance/PeerLoads.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/PeerLoads.java
@@ -27,13 +27,13 @@
 public final class PeerLoads {
 
 	/** VMs send at least twice in this time while they have anything under way. */
-	static final long SILENT_NANOS = 1_200_000_000L;
+	static final long EXPIRY_NANOS = 1_200_000_000L;
 
 	/** Some ten digests make the estimate of their pause. */
-	private static final double PAUSE_WEIGHT = 0.1;
+	private static final double INTERVAL_WEIGHT = 0.1;
 
 	/** What a view tells passed from a VM to its relay, to another one and from there. */
-	private static final int HOPS_OF_VIEW = 3;
+	private static final int VIEW_HOPS = 3;
 
 	private static final LongHashFunction HASH = LongHashFunction.xx3();
 
@@ -46,11 +46,11 @@
 
 	private final LoadSums viewSums = new LoadSums();
 
-	private String viewedBy = "";
+	private String viewRelay = "";
 
-	private double pauseNanos;
+	private double intervalNanos;
 
-	private double viewPauseNanos;
+	private double viewIntervalNanos;
 
 	/**
 	 * Return the short name of an endpoint in digests. Two endpoints of one name would
@@ -58,7 +58,7 @@
 	 * @param instance the instance
 	 * @return a hash of it
 	 */
-	public static int nameOf(String instance) {
+	public static int idOf(String instance) {
 		return (int) HASH.hashBytes(instance.getBytes(StandardCharsets.UTF_8));
 	}
 
@@ -69,8 +69,8 @@
 	 * @param loads what the VM has under way
 	 * @param now the time
 	 */
-	public void take(String peer, long sequence, List<Load> loads, long now) {
-		take(peer, LoadDigest.of(LoadDigest.Kind.SUMMARY, sequence, 1, loads, List.of()), now);
+	public void receive(String peer, long sequence, List<Load> loads, long now) {
+		receive(peer, LoadDigest.of(LoadDigest.Kind.SUMMARY, sequence, 1, loads, List.of()), now);
 	}
 
 	/**
@@ -80,7 +80,7 @@
 	 * @param now the time
 	 * @return whether it is newer than what is known
 	 */
-	boolean take(String peer, LoadDigest digest, long now) {
+	boolean receive(String peer, LoadDigest digest, long now) {
 		String key = peer + "#" + digest.part();
 		Digest before = this.digests.get(key);
 		if (before != null && digest.sequence() <= before.sequence()) {
@@ -89,9 +89,9 @@
 		}
 		if (before != null) {
 			this.sums.remove(before.loads());
-			this.pauseNanos += PAUSE_WEIGHT * (now - before.at() - this.pauseNanos);
+			this.intervalNanos += INTERVAL_WEIGHT * (now - before.at() - this.intervalNanos);
 		}
-		this.digests.put(key, new Digest(digest.sequence(), digest.loads(), vmsOf(digest), now));
+		this.digests.put(key, new Digest(digest.sequence(), digest.loads(), vmCount(digest), now));
 		this.sums.add(digest.loads());
 		for (int part = digest.parts(); this.digests.containsKey(peer + "#" + part); part++) {
 			this.sums.remove(this.digests.remove(peer + "#" + part).loads());
@@ -99,7 +99,7 @@
 		return true;
 	}
 
-	private static int vmsOf(LoadDigest digest) {
+	private static int vmCount(LoadDigest digest) {
 		return (digest.part() == 0) ? digest.vms() : 0;
 	}
 
@@ -111,10 +111,10 @@
 	 * @param now the time
 	 * @return whether it is newer than what is known
 	 */
-	boolean takeView(String relay, LoadDigest digest, List<Load> own, long now) {
-		if (!this.viewedBy.equals(relay)) {
-			forgetView();
-			this.viewedBy = relay;
+	boolean receiveView(String relay, LoadDigest digest, List<Load> own, long now) {
+		if (!this.viewRelay.equals(relay)) {
+			dropView();
+			this.viewRelay = relay;
 		}
 		Digest before = this.view.get(digest.part());
 		if (before != null && digest.sequence() <= before.sequence()) {
@@ -122,12 +122,12 @@
 		}
 		if (before != null) {
 			this.viewSums.remove(before.loads());
-			this.viewPauseNanos += PAUSE_WEIGHT * (now - before.at() - this.viewPauseNanos);
+			this.viewIntervalNanos += INTERVAL_WEIGHT * (now - before.at() - this.viewIntervalNanos);
 		}
 		LoadSums others = new LoadSums();
 		others.add(digest.loads());
 		others.remove(own.stream().filter((load) -> others.contains(load.endpoint())).toList());
-		this.view.put(digest.part(), new Digest(digest.sequence(), others.all(), vmsOf(digest), now));
+		this.view.put(digest.part(), new Digest(digest.sequence(), others.all(), vmCount(digest), now));
 		this.viewSums.add(others.all());
 		for (int part = digest.parts(); this.view.containsKey(part); part++) {
 			this.viewSums.remove(this.view.remove(part).loads());
@@ -136,10 +136,10 @@
 	}
 
 	/** Forget the view: this VM makes one itself. */
-	void forgetView() {
+	void dropView() {
 		this.view.values().forEach((part) -> this.viewSums.remove(part.loads()));
 		this.view.clear();
-		this.viewedBy = "";
+		this.viewRelay = "";
 	}
 
 	/**
@@ -155,7 +155,7 @@
 		Iterator<Digest> all = digests.iterator();
 		while (all.hasNext()) {
 			Digest digest = all.next();
-			if (now - digest.at() > SILENT_NANOS) {
+			if (now - digest.at() > EXPIRY_NANOS) {
 				all.remove();
 				sums.remove(digest.loads());
 			}
@@ -170,23 +170,23 @@
 		return !this.digests.isEmpty() || !this.view.isEmpty();
 	}
 
-	private boolean isViewed() {
+	private boolean hasView() {
 		return !this.view.isEmpty();
 	}
 
 	// The VMs that tell their load.
-	int count() {
-		return (isViewed()) ? vms(this.view.values()) - 1 : vms(this.digests.values());
+	int peerCount() {
+		return (hasView()) ? countVms(this.view.values()) - 1 : countVms(this.digests.values());
 	}
 
-	private static int vms(Collection<Digest> digests) {
+	private static int countVms(Collection<Digest> digests) {
 		return digests.stream().mapToInt(Digest::vms).sum();
 	}
 
 	// Twice the usual age of what is known: the pause between two digests of a VM, or its
 	// like for what comes by way of relays.
-	double pauseNanos() {
-		return (isViewed()) ? HOPS_OF_VIEW * this.viewPauseNanos : this.pauseNanos;
+	double intervalNanos() {
+		return (hasView()) ? VIEW_HOPS * this.viewIntervalNanos : this.intervalNanos;
 	}
 
 	/**
@@ -198,7 +198,7 @@
 	}
 
 	private LoadSums current() {
-		return (isViewed()) ? this.viewSums : this.sums;
+		return (hasView()) ? this.viewSums : this.sums;
 	}
 
 	int inFlight(int endpoint) {
--- a/core/src/main/java/org/acaciacourse/core/balance/PlacedRequest.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/PlacedRequest.java
@@ -14,29 +14,29 @@
 
 	private final EndpointLoad load;
 
-	private final ReadingPace pace;
+	private final PrefillRate prefillRate;
 
 	private final boolean brief;
 
-	private final Turn turn;
+	private final Turn queuePosition;
 
 	private final long work;
 
-	private final long ahead;
+	private final long workAhead;
 
-	private boolean promptRead;
+	private boolean prefillDone;
 
 	private boolean streaming;
 
 	private boolean ended;
 
-	PlacedRequest(EndpointLoad load, ReadingPace pace, Placement asked, Turn turn) {
+	PlacedRequest(EndpointLoad load, PrefillRate prefillRate, Placement request, Turn queuePosition) {
 		this.load = load;
-		this.pace = pace;
-		this.brief = asked.brief();
-		this.turn = turn;
-		this.work = asked.shape().work(load.memory().held(asked.shape()));
-		if (turn.delaysOthers()) {
+		this.prefillRate = prefillRate;
+		this.brief = request.brief();
+		this.queuePosition = queuePosition;
+		this.work = request.shape().work(load.prefixCache().cachedTokens(request.shape()));
+		if (queuePosition.delaysOthers()) {
 			load.begin(this.work);
 		}
 		else {
@@ -45,7 +45,7 @@
 		if (this.brief) {
 			load.briefBegan();
 		}
-		this.ahead = load.waitingWork();
+		this.workAhead = load.waitingWork();
 	}
 
 	/**
@@ -54,7 +54,7 @@
 	 * go before it
 	 */
 	public long workAhead() {
-		return this.ahead;
+		return this.workAhead;
 	}
 
 	/**
@@ -62,7 +62,7 @@
 	 * @param now the time
 	 */
 	public void heard(long now) {
-		this.load.heard(now);
+		this.load.recordActivity(now);
 	}
 
 	/**
@@ -70,7 +70,7 @@
 	 * @return the time, long ago if it was never heard of
 	 */
 	public long heardAt() {
-		return this.load.heardAt();
+		return this.load.lastActivityAt();
 	}
 
 	/**
@@ -86,30 +86,30 @@
 	/**
 	 * The first event of the answer came: the prompt is read to its end. Later events
 	 * change nothing.
-	 * @param took nanoseconds from when the request was sent
+	 * @param elapsed nanoseconds from when the request was sent
 	 */
-	public void streamBegan(long took) {
+	public void streamBegan(long elapsed) {
 		if (this.streaming || this.ended) {
 			return;
 		}
 		this.streaming = true;
 		this.load.streamBegan();
-		if (this.turn.tellsPace()) {
-			this.pace.read(this.ahead, took);
+		if (this.queuePosition.indicatesPrefillRate()) {
+			this.prefillRate.observe(this.workAhead, elapsed);
 		}
-		promptRead();
+		markPrefillDone();
 	}
 
-	private void promptRead() {
-		if (this.promptRead) {
+	private void markPrefillDone() {
+		if (this.prefillDone) {
 			return;
 		}
-		this.promptRead = true;
-		if (this.turn.delaysOthers()) {
-			this.load.promptRead(this.work);
+		this.prefillDone = true;
+		if (this.queuePosition.delaysOthers()) {
+			this.load.prefillDone(this.work);
 		}
 		else {
-			this.load.deferredRead(this.work);
+			this.load.deferredPrefillDone(this.work);
 		}
 	}
 
@@ -131,7 +131,7 @@
 			return;
 		}
 		this.ended = true;
-		promptRead();
+		markPrefillDone();
 		if (this.streaming) {
 			this.load.streamEnded();
 		}
@@ -139,7 +139,7 @@
 			this.load.briefEnded();
 		}
 		this.load.end();
-		outcome.tell(this.load, now);
+		outcome.apply(this.load, now);
 	}
 
 	/**
--- a/core/src/main/java/org/acaciacourse/core/balance/Placement.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/Placement.java
@@ -12,13 +12,13 @@
  * @param affinity whether requests with the same shared parts belong together
  * @param brief whether its target is among the shortest of the pool
  * @param salt a hash of the request, which decides between equal endpoints
- * @param without the instances that had their turn
+ * @param excluded the instances that had their turn
  */
-public record Placement(PromptShape shape, boolean affinity, boolean brief, long salt, Set<String> without) {
+public record Placement(PromptShape shape, boolean affinity, boolean brief, long salt, Set<String> excluded) {
 
 	public Placement {
 		Objects.requireNonNull(shape, "shape");
-		without = Set.copyOf(without);
+		excluded = Set.copyOf(excluded);
 	}
 
 }
--- a/core/src/main/java/org/acaciacourse/core/balance/PlacementCost.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/PlacementCost.java
@@ -13,104 +13,105 @@
 	private static final LongHashFunction HASH = LongHashFunction.xx3();
 
 	/** The work of a usual prompt, by which the requests that wait are estimated. */
-	private static final double USUAL_WORK = 10_000;
+	private static final double TYPICAL_PROMPT_WORK = 10_000;
 
 	private final RoutingPolicy policy;
 
-	private final double running;
+	private final double runningCost;
 
-	private final double waiting;
+	private final double waitingCost;
 
-	private final double anew;
+	private final double recomputeFactor;
 
-	private final double second;
+	private final double secondaryFactor;
 
-	private final double failure;
+	private final double failureCost;
 
-	private final double connection;
+	private final double connectionCost;
 
-	private final double lateAnswer;
+	private final double lateAnswerCost;
 
-	private final double beside;
+	private final double delayFactor;
 
-	private final double briefElsewhere;
+	private final double briefElsewhereCost;
 
-	private final double longElsewhere;
+	private final double longElsewhereCost;
 
-	private final double shortElsewhere;
+	private final double shortElsewhereCost;
 
 	PlacementCost(RoutingPolicy policy) {
 		this.policy = policy;
-		this.running = policy.value(RoutingParameter.RUNNING_COST);
-		this.waiting = policy.value(RoutingParameter.WAITING_COST);
-		this.anew = price(RoutingMechanism.PRICE_OF_READING_ANEW, RoutingParameter.ANEW_FACTOR, 1);
-		this.second = policy.value(RoutingParameter.SECOND_FACTOR);
-		this.failure = price(RoutingMechanism.PRICE_OF_FAILURES, RoutingParameter.FAILURE_COST, 0);
-		this.connection = price(RoutingMechanism.PRICE_OF_CONNECTIONS, RoutingParameter.CONNECTION_COST, 0);
-		this.lateAnswer = price(RoutingMechanism.PRICE_OF_LATE_ANSWERS, RoutingParameter.LATE_ANSWER_COST, 0);
-		this.beside = policy.value(RoutingParameter.BESIDE_FACTOR);
-		this.briefElsewhere = policy.value(RoutingParameter.BRIEF_ELSEWHERE_COST);
-		this.longElsewhere = policy.value(RoutingParameter.LONG_ELSEWHERE_COST);
-		this.shortElsewhere = price(RoutingMechanism.SHORT_BESIDE_BRIEF, RoutingParameter.SHORT_ELSEWHERE_COST,
-				this.longElsewhere);
+		this.runningCost = policy.value(RoutingParameter.RUNNING_COST);
+		this.waitingCost = policy.value(RoutingParameter.WAITING_COST);
+		this.recomputeFactor = valueIfOn(RoutingMechanism.PRICE_OF_READING_ANEW, RoutingParameter.ANEW_FACTOR, 1);
+		this.secondaryFactor = policy.value(RoutingParameter.SECOND_FACTOR);
+		this.failureCost = valueIfOn(RoutingMechanism.PRICE_OF_FAILURES, RoutingParameter.FAILURE_COST, 0);
+		this.connectionCost = valueIfOn(RoutingMechanism.PRICE_OF_CONNECTIONS, RoutingParameter.CONNECTION_COST, 0);
+		this.lateAnswerCost = valueIfOn(RoutingMechanism.PRICE_OF_LATE_ANSWERS, RoutingParameter.LATE_ANSWER_COST, 0);
+		this.delayFactor = policy.value(RoutingParameter.BESIDE_FACTOR);
+		this.briefElsewhereCost = policy.value(RoutingParameter.BRIEF_ELSEWHERE_COST);
+		this.longElsewhereCost = policy.value(RoutingParameter.LONG_ELSEWHERE_COST);
+		this.shortElsewhereCost = valueIfOn(RoutingMechanism.SHORT_BESIDE_BRIEF, RoutingParameter.SHORT_ELSEWHERE_COST,
+				this.longElsewhereCost);
 	}
 
-	private double price(RoutingMechanism mechanism, RoutingParameter parameter, double otherwise) {
+	private double valueIfOn(RoutingMechanism mechanism, RoutingParameter parameter, double otherwise) {
 		return (this.policy.isOn(mechanism)) ? this.policy.value(parameter) : otherwise;
 	}
 
 	/**
 	 * Return the cost of the load and the health of an endpoint, and of the work there.
 	 * @param load the endpoint
-	 * @param asked the request
-	 * @param held the tokens of the prompt that the endpoint holds
-	 * @param home what the endpoint is to the shared parts
+	 * @param request the request
+	 * @param cached the tokens of the prompt that the endpoint holds
+	 * @param role what the endpoint is to the shared parts
 	 * @param now the time
 	 * @return the cost
 	 */
-	double of(EndpointLoad load, Placement asked, long held, HomeOfParts home, long now) {
+	double of(EndpointLoad load, Placement request, long cached, HomeRole role, long now) {
 		long ahead = load.waitingWork();
-		return ahead + work(asked.shape(), held, home, ahead) + running(load, now) + failures(load, now)
-				+ tieBreak(load, asked.salt());
+		return ahead + prefillCost(request.shape(), cached, role, ahead) + runningCost(load, now)
+				+ failureCost(load, now) + tieBreak(load, request.salt());
 	}
 
 	// Reading a shared part for the first time can't be avoided. Where it does not belong
 	// it is read once more. Whatever is read delays all that wait there: when all queues
 	// are long, reading parts in many places makes them longer still, until engines do
 	// little else.
-	private double work(PromptShape shape, long held, HomeOfParts home, long ahead) {
-		double delayed = ahead / USUAL_WORK;
-		return (anew(home) + delayed) * shape.work(held);
+	private double prefillCost(PromptShape shape, long cached, HomeRole role, long ahead) {
+		double requestsDelayed = ahead / TYPICAL_PROMPT_WORK;
+		return (recomputeFactor(role) + requestsDelayed) * shape.work(cached);
 	}
 
-	private double anew(HomeOfParts home) {
-		return switch (home) {
-			case FIRST -> 1;
-			case SECOND -> this.second;
-			case NONE -> this.anew;
+	private double recomputeFactor(HomeRole role) {
+		return switch (role) {
+			case PRIMARY -> 1;
+			case SECONDARY -> this.secondaryFactor;
+			case NONE -> this.recomputeFactor;
 		};
 	}
 
 	// A service with few slots is full with few requests: a request there costs as much
 	// as a full batch shared by its slots.
-	private double running(EndpointLoad load, long now) {
+	private double runningCost(EndpointLoad load, long now) {
 		double slots = load.endpoint().slots();
-		int runs = load.running(now);
-		double over = Math.max(0, runs + 1 - slots);
-		return Math.max(this.running, this.waiting / slots) * runs + this.waiting * (over + load.waiting(now));
+		int inFlight = load.running(now);
+		double over = Math.max(0, inFlight + 1 - slots);
+		return Math.max(this.runningCost, this.waitingCost / slots) * inFlight
+				+ this.waitingCost * (over + load.waiting(now));
 	}
 
-	private double failures(EndpointLoad load, long now) {
+	private double failureCost(EndpointLoad load, long now) {
 		boolean suspect = this.policy.isOn(RoutingMechanism.SUSPECTS) && load.isSuspect(now);
-		return this.failure * ((suspect) ? 1 : load.failureRate(now));
+		return this.failureCost * ((suspect) ? 1 : load.failureRate(now));
 	}
 
 	/**
 	 * Return the cost of putting a brief request where long prompts belong.
 	 * @return the cost
 	 */
-	double briefElsewhere() {
-		return this.briefElsewhere;
+	double briefElsewhereCost() {
+		return this.briefElsewhereCost;
 	}
 
 	/**
@@ -119,8 +120,8 @@
 	 * @param harmless the work that makes no brief answer late
 	 * @return the cost
 	 */
-	double elsewhere(long work, long harmless) {
-		return (work <= harmless) ? this.shortElsewhere : this.longElsewhere;
+	double reservedEngineCost(long work, long harmless) {
+		return (work <= harmless) ? this.shortElsewhereCost : this.longElsewhereCost;
 	}
 
 	/**
@@ -130,16 +131,16 @@
 	 * @param harmless the work that makes no brief answer late
 	 * @return the cost
 	 */
-	double beside(int brief, long work, long harmless) {
-		return brief * ((work > harmless) ? this.lateAnswer : this.beside * work);
+	double briefDelayCost(int brief, long work, long harmless) {
+		return brief * ((work > harmless) ? this.lateAnswerCost : this.delayFactor * work);
 	}
 
 	/**
 	 * Return the cost of a new connection.
 	 * @return the cost
 	 */
-	double connection() {
-		return this.connection;
+	double connectionCost() {
+		return this.connectionCost;
 	}
 
 	// Below one token: VMs that know nothing of each other's requests should not all take
--- a/core/src/main/java/org/acaciacourse/core/balance/PoolBalancer.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/PoolBalancer.java
@@ -16,7 +16,7 @@
  * what is known, in prompt tokens: the prompts that this VM has it read already, the
  * requests that run there, and the shared parts of the prompt if the endpoint does not
  * hold them. Which ones hold them follows from what all entry VMs had them read
- * ({@link PromptMemory}). A part that none holds goes to the endpoint that rendezvous
+ * ({@link PrefixCacheModel}). A part that none holds goes to the endpoint that rendezvous
  * hashing (Thaler and Ravishankar, 1998) names, so that all entry VMs send it to the same
  * one without a word between them; the others get it only when those queues cost more
  * than reading the shared part anew.
@@ -29,25 +29,25 @@
 	 * Uses of parts that wait to be told; more than a VM sends between two digests. A VM
 	 * that is alone tells nobody.
 	 */
-	private static final int MOST_UNTOLD = 64;
+	private static final int MAX_UNREPORTED_USES = 64;
 
 	/** The longest pause between events that routes of today aim for. */
-	private static final long USUAL_GAP_MILLIS = 150;
+	private static final long DEFAULT_GAP_MILLIS = 150;
 
 	private final Map<String, EndpointLoad> loads = new HashMap<>();
 
 	/** Under the short names of digests, of which one comes for every few requests. */
-	private final Map<Integer, EndpointLoad> byName = new HashMap<>();
+	private final Map<Integer, EndpointLoad> byId = new HashMap<>();
 
 	private final PeerLoads peers;
 
 	private final Predicate<String> connected;
 
-	private int connectionsEach = Integer.MAX_VALUE;
+	private int maxConnectionsPerEndpoint = Integer.MAX_VALUE;
 
-	private long engineTokens;
+	private long engineCacheTokens;
 
-	private long shortestGapMillis = USUAL_GAP_MILLIS;
+	private long shortestGapMillis = DEFAULT_GAP_MILLIS;
 
 	private RoutingPolicy policy = RoutingPolicy.DEFAULT;
 
@@ -55,15 +55,15 @@
 
 	private long harmlessWork = harmlessWork();
 
-	private final BriefEngines brief = new BriefEngines();
+	private final BriefEngines briefEngines = new BriefEngines();
 
-	private final ReadingPace pace = new ReadingPace();
+	private final PrefillRate prefillRate = new PrefillRate();
 
-	private final ChoiceSample ofBrief;
+	private final CandidateSampler briefSampler;
 
-	private final ChoiceSample ofOthers;
+	private final CandidateSampler otherSampler;
 
-	private final Set<PartUse> untold = new LinkedHashSet<>();
+	private final Set<PartUse> unreportedUses = new LinkedHashSet<>();
 
 	/**
 	 * Make a balancer.
@@ -73,8 +73,8 @@
 	public PoolBalancer(PeerLoads peers, Predicate<String> connected) {
 		this.peers = peers;
 		this.connected = connected;
-		this.ofBrief = new ChoiceSample(peers);
-		this.ofOthers = new ChoiceSample(peers);
+		this.briefSampler = new CandidateSampler(peers);
+		this.otherSampler = new CandidateSampler(peers);
 	}
 
 	/**
@@ -85,7 +85,7 @@
 		this.policy = next;
 		this.cost = new PlacementCost(next);
 		this.harmlessWork = harmlessWork();
-		this.brief.policy(next, this.loads.values());
+		this.briefEngines.policy(next, this.loads.values());
 	}
 
 	private long harmlessWork() {
@@ -97,16 +97,16 @@
 	 * @return the load at each endpoint where there is any
 	 */
 	public List<PeerLoads.Load> own() {
-		return this.loads.values().stream().filter((load) -> load.inFlight() > 0).map(EndpointLoad::own).toList();
+		return this.loads.values().stream().filter((load) -> load.inFlight() > 0).map(EndpointLoad::localLoad).toList();
 	}
 
 	/**
 	 * Set the size of the memory of the pool's engines.
-	 * @param tokens the tokens that each holds
+	 * @param capacity the tokens that each holds
 	 */
-	public void engineTokens(long tokens) {
-		this.engineTokens = tokens;
-		this.loads.values().forEach((load) -> load.memory().engineTokens(tokens));
+	public void engineTokens(long capacity) {
+		this.engineCacheTokens = capacity;
+		this.loads.values().forEach((load) -> load.prefixCache().engineCacheTokens(capacity));
 	}
 
 	/**
@@ -132,55 +132,56 @@
 				load.update(endpoint);
 			}
 			else {
-				this.loads.put(instance, made(endpoint));
+				this.loads.put(instance, newLoad(endpoint));
 			}
 		});
-		this.byName.clear();
-		this.loads.values().forEach((load) -> this.byName.put(load.name(), load));
-		this.brief.divide(this.loads.values());
+		this.byId.clear();
+		this.loads.values().forEach((load) -> this.byId.put(load.id(), load));
+		this.briefEngines.divide(this.loads.values());
 	}
 
-	private EndpointLoad made(FleetEndpoint endpoint) {
+	private EndpointLoad newLoad(FleetEndpoint endpoint) {
 		EndpointLoad load = new EndpointLoad(endpoint, this.peers);
-		if (this.engineTokens > 0) {
-			load.memory().engineTokens(this.engineTokens);
+		if (this.engineCacheTokens > 0) {
+			load.prefixCache().engineCacheTokens(this.engineCacheTokens);
 		}
 		return load;
 	}
 
 	/**
 	 * Bound the requests of this VM at one endpoint, each of which takes a connection.
-	 * @param most the most requests at a time
+	 * @param max the most requests at a time
 	 */
-	public void connectionsEach(int most) {
-		this.connectionsEach = Math.max(1, most);
+	public void connectionsEach(int max) {
+		this.maxConnectionsPerEndpoint = Math.max(1, max);
 	}
 
 	/**
 	 * Choose an endpoint.
-	 * @param asked what the request asks
+	 * @param request what the request asks
 	 * @param now the time
 	 * @return the endpoint, or nothing if none may get the request now
 	 */
-	public Optional<FleetEndpoint> choose(Placement asked, long now) {
-		this.brief.follow(now);
-		List<EndpointLoad> usable = usable(asked.without(), now);
-		Homes homes = homes(asked, usable);
-		boolean mixed = isMixed(asked);
-		int apart = (mixed) ? (int) usable.stream().filter(this.brief::contains).count() : 0;
-		double share = share(asked, now);
-		ChoiceSample.Draw forBrief = new ChoiceSample.Draw(share, apart, asked.salt());
-		ChoiceSample.Draw others = new ChoiceSample.Draw(share, usable.size() - apart, asked.salt());
-		long shared = asked.shape().sharedTokens();
+	public Optional<FleetEndpoint> choose(Placement request, long now) {
+		this.briefEngines.update(now);
+		List<EndpointLoad> usable = usableEndpoints(request.excluded(), now);
+		HomeEndpoints homes = homes(request, usable);
+		boolean divided = isDivisionApplied(request);
+		int briefCount = (divided) ? (int) usable.stream().filter(this.briefEngines::contains).count() : 0;
+		double share = sampleShare(request, now);
+		CandidateSampler.Draw briefDraw = new CandidateSampler.Draw(share, briefCount, request.salt());
+		CandidateSampler.Draw otherDraw = new CandidateSampler.Draw(share, usable.size() - briefCount, request.salt());
+		long shared = request.shape().sharedTokens();
 		EndpointLoad best = null;
 		double bestCost = Double.MAX_VALUE;
 		for (EndpointLoad load : usable) {
-			boolean drawn = (mixed && this.brief.contains(load)) ? forBrief.next() : others.next();
-			long held = load.memory().held(asked.shape());
-			boolean isPlace = held == shared || homes.contains(load);
+			boolean drawn = (divided && this.briefEngines.contains(load)) ? briefDraw.isNextDrawn()
+					: otherDraw.isNextDrawn();
+			long cached = load.prefixCache().cachedTokens(request.shape());
+			boolean alwaysCompared = cached == shared || homes.contains(load);
 			// The endpoints that hold the shared parts are few, and compared in any case.
-			if (drawn || (isPlace && shared > 0)) {
-				double cost = cost(load, asked, held, homes.role(load, held == shared), now);
+			if (drawn || (alwaysCompared && shared > 0)) {
+				double cost = cost(load, request, cached, homes.role(load, cached == shared), now);
 				if (cost < bestCost) {
 					best = load;
 					bestCost = cost;
@@ -190,105 +191,105 @@
 		return Optional.ofNullable(best).map(EndpointLoad::endpoint);
 	}
 
-	private List<EndpointLoad> usable(Set<String> without, long now) {
+	private List<EndpointLoad> usableEndpoints(Set<String> excluded, long now) {
 		List<EndpointLoad> usable = new ArrayList<>(this.loads.size());
 		for (EndpointLoad load : this.loads.values()) {
-			if (isUsable(load, without, now)) {
+			if (isUsable(load, excluded, now)) {
 				usable.add(load);
 			}
 		}
 		return usable;
 	}
 
-	private double share(Placement asked, long now) {
+	private double sampleShare(Placement request, long now) {
 		return (this.policy.isOn(RoutingMechanism.SAMPLED_CHOICE))
-				? sample(asked).share(this.policy.value(RoutingParameter.UNTOLD_REQUESTS), now) : 1;
+				? samplerFor(request).share(this.policy.value(RoutingParameter.UNTOLD_REQUESTS), now) : 1;
 	}
 
 	// Both kinds have endpoints of their own, where only their own is untold.
-	private ChoiceSample sample(Placement asked) {
-		return (asked.brief()) ? this.ofBrief : this.ofOthers;
+	private CandidateSampler samplerFor(Placement request) {
+		return (request.brief()) ? this.briefSampler : this.otherSampler;
 	}
 
-	private double cost(EndpointLoad load, Placement asked, long held, HomeOfParts home, long now) {
-		double sum = this.cost.of(load, asked, held, home, now);
-		if (isMixed(asked)) {
-			sum += mixing(load, asked, held);
+	private double cost(EndpointLoad load, Placement request, long cached, HomeRole role, long now) {
+		double sum = this.cost.of(load, request, cached, role, now);
+		if (isDivisionApplied(request)) {
+			sum += mixingCost(load, request, cached);
 		}
 		if (!this.connected.test(load.endpoint().instance())) {
-			sum += this.cost.connection();
+			sum += this.cost.connectionCost();
 		}
 		return sum;
 	}
 
-	private boolean isMixed(Placement asked) {
-		return this.brief.isDivided() && asked.shape().promptTokens() > 0;
+	private boolean isDivisionApplied(Placement request) {
+		return this.briefEngines.isDivided() && request.shape().promptTokens() > 0;
 	}
 
 	// An engine reads a prompt between the tokens of all that run there: a long one makes
 	// each brief answer beside it late by its gap alone.
-	private double mixing(EndpointLoad load, Placement asked, long held) {
-		boolean forBrief = this.brief.contains(load);
-		if (asked.brief()) {
-			return (forBrief) ? 0 : this.cost.briefElsewhere();
+	private double mixingCost(EndpointLoad load, Placement request, long cached) {
+		boolean forBrief = this.briefEngines.contains(load);
+		if (request.brief()) {
+			return (forBrief) ? 0 : this.cost.briefElsewhereCost();
 		}
-		long work = asked.shape().work(held);
-		double beside = this.cost.beside(load.brief(), work, this.harmlessWork);
-		return (forBrief) ? beside + this.cost.elsewhere(work, this.harmlessWork) : beside;
+		long work = request.shape().work(cached);
+		double delayCost = this.cost.briefDelayCost(load.briefRunning(), work, this.harmlessWork);
+		return (forBrief) ? delayCost + this.cost.reservedEngineCost(work, this.harmlessWork) : delayCost;
 	}
 
-	private Homes homes(Placement asked, List<EndpointLoad> usable) {
-		PromptShape shape = asked.shape();
-		if (shape.sharedId() == 0 || !asked.affinity() || asked.brief()
+	private HomeEndpoints homes(Placement request, List<EndpointLoad> usable) {
+		PromptShape shape = request.shape();
+		if (shape.sharedId() == 0 || !request.affinity() || request.brief()
 				|| !this.policy.isOn(RoutingMechanism.HOME_OF_PARTS)) {
-			return Homes.NONE;
+			return HomeEndpoints.NONE;
 		}
-		Homes homes = Homes.of(shape, usable, (load) -> !this.brief.contains(load));
+		HomeEndpoints homes = HomeEndpoints.of(shape, usable, (load) -> !this.briefEngines.contains(load));
 		double factor = this.policy
-			.value((homes.held()) ? RoutingParameter.SECOND_FACTOR : RoutingParameter.NEW_PART_FACTOR);
-		boolean helps = this.policy.isOn(RoutingMechanism.SECOND_HOME)
+			.value((homes.cached()) ? RoutingParameter.SECOND_FACTOR : RoutingParameter.NEW_PART_FACTOR);
+		boolean useSecondary = this.policy.isOn(RoutingMechanism.SECOND_HOME)
 				&& homes.queueDifference() > factor * shape.work(0);
-		return (helps) ? homes : homes.withoutSecond();
+		return (useSecondary) ? homes : homes.withoutSecondary();
 	}
 
 	/**
 	 * Return whether waiting for an endpoint is in vain.
-	 * @param without the instances that had their turn
+	 * @param excluded the instances that had their turn
 	 * @return whether there are endpoints and all had it
 	 */
-	public boolean isExhausted(Set<String> without) {
+	public boolean isExhausted(Set<String> excluded) {
 		List<EndpointLoad> staying = this.loads.values().stream().filter((load) -> !load.endpoint().leaving()).toList();
-		return !staying.isEmpty() && staying.stream().allMatch((load) -> without.contains(load.endpoint().instance()));
+		return !staying.isEmpty() && staying.stream().allMatch((load) -> excluded.contains(load.endpoint().instance()));
 	}
 
-	private boolean isUsable(EndpointLoad load, Set<String> without, long now) {
+	private boolean isUsable(EndpointLoad load, Set<String> excluded, long now) {
 		boolean paused = load.isPaused(now) && this.policy.isOn(RoutingMechanism.PAUSES);
-		return !load.endpoint().leaving() && !paused && load.inFlight() < this.connectionsEach
-				&& !without.contains(load.endpoint().instance());
+		return !load.endpoint().leaving() && !paused && load.inFlight() < this.maxConnectionsPerEndpoint
+				&& !excluded.contains(load.endpoint().instance());
 	}
 
 	/**
 	 * A request is sent.
 	 * @param instance the endpoint that was chosen, still in the pool
-	 * @param asked what the request asks
+	 * @param request what the request asks
 	 * @param turn when the endpoint turns to it
 	 * @param now the time
 	 * @return the request there
 	 */
-	public PlacedRequest begin(String instance, Placement asked, Turn turn, long now) {
-		sample(asked).sent(now);
+	public PlacedRequest begin(String instance, Placement request, Turn turn, long now) {
+		samplerFor(request).requestSent(now);
 		EndpointLoad load = find(instance).orElseThrow();
-		PlacedRequest placed = new PlacedRequest(load, this.pace, asked, turn);
-		asked.shape().sharedParts().forEach((part) -> {
-			load.memory().use(part);
-			tellLater(new PartUse(load.name(), part));
+		PlacedRequest placed = new PlacedRequest(load, this.prefillRate, request, turn);
+		request.shape().sharedParts().forEach((part) -> {
+			load.prefixCache().recordUse(part);
+			queueUse(new PartUse(load.id(), part));
 		});
 		return placed;
 	}
 
-	private void tellLater(PartUse use) {
-		if (this.policy.isOn(RoutingMechanism.PARTS_TOLD) && this.untold.size() < MOST_UNTOLD) {
-			this.untold.add(use);
+	private void queueUse(PartUse use) {
+		if (this.policy.isOn(RoutingMechanism.PARTS_TOLD) && this.unreportedUses.size() < MAX_UNREPORTED_USES) {
+			this.unreportedUses.add(use);
 		}
 	}
 
@@ -297,9 +298,9 @@
 	 * @param use what it tells
 	 */
 	public void told(PartUse use) {
-		EndpointLoad load = this.byName.get(use.endpoint());
+		EndpointLoad load = this.byId.get(use.endpoint());
 		if (load != null) {
-			load.memory().use(use.part());
+			load.prefixCache().recordUse(use.part());
 		}
 	}
 
@@ -308,8 +309,8 @@
 	 * @return the uses since the last call
 	 */
 	public List<PartUse> takeUntold() {
-		List<PartUse> uses = List.copyOf(this.untold);
-		this.untold.clear();
+		List<PartUse> uses = List.copyOf(this.unreportedUses);
+		this.unreportedUses.clear();
 		return uses;
 	}
 
@@ -317,16 +318,16 @@
 	 * Return whether a prompt would be read too late at an endpoint.
 	 * @param instance its instance
 	 * @param shape the prompt
-	 * @param left nanoseconds until the first event is due
+	 * @param remaining nanoseconds until the first event is due
 	 * @return whether what waits there takes longer, by what is known
 	 */
-	public boolean isLate(String instance, PromptShape shape, long left) {
+	public boolean isLate(String instance, PromptShape shape, long remaining) {
 		if (!this.policy.isOn(RoutingMechanism.DEFERRAL)) {
 			return false;
 		}
 		return find(instance).map((load) -> {
-			long work = load.waitingWork() + shape.work(load.memory().held(shape));
-			return this.pace.nanos(work) > left;
+			long work = load.waitingWork() + shape.work(load.prefixCache().cachedTokens(shape));
+			return this.prefillRate.estimateNanos(work) > remaining;
 		}).orElse(false);
 	}
 
@@ -335,7 +336,7 @@
 	 * @return the division, if there are endpoints enough
 	 */
 	public Optional<Division> division() {
-		return Optional.of(this.brief.told()).filter((told) -> told.engines() > 0);
+		return Optional.of(this.briefEngines.division()).filter((told) -> told.engines() > 0);
 	}
 
 	private Optional<EndpointLoad> find(String instance) {
--- a/core/src/main/java/org/acaciacourse/core/balance/ReadingPace.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/PrefillRate.java
@@ -7,48 +7,48 @@
  * <p>
  * Not thread safe: belongs to one {@link PoolBalancer}.
  */
-final class ReadingPace {
+final class PrefillRate {
 
 	/**
 	 * Tokens in a millisecond, until enough was seen: engines of today read some 60, half
 	 * of that in a full batch. With the lower end prompts of the first seconds of a burst
 	 * are taken for late that would be in time.
 	 */
-	private static final double USUAL_TOKENS_PER_MILLI = 45;
+	private static final double DEFAULT_TOKENS_PER_MILLI = 45;
 
 	/**
 	 * Shorter waits tell of the steps of the batch, not of reading: a step takes some ten
 	 * milliseconds and reads a few hundred tokens.
 	 */
-	private static final long LEAST_WORK = 5_000;
+	private static final long MIN_WORK = 5_000;
 
 	/**
 	 * Some ten requests that waited make the estimate. A VM sees a few in a second, and a
 	 * burst, or the loss of an engine, changes the pace at once.
 	 */
-	private static final double WEIGHT = 0.15;
+	private static final double SMOOTHING_WEIGHT = 0.15;
 
 	/** One wait can't move the estimate by more than this part of it. */
-	private static final double MOST_STEP = 0.045;
+	private static final double MAX_STEP = 0.045;
 
 	/** The estimate stays within this factor of the usual pace. */
-	private static final double MOST_FACTOR = 4;
+	private static final double MAX_FACTOR = 4;
 
-	private double tokensPerMilli = USUAL_TOKENS_PER_MILLI;
+	private double tokensPerMilli = DEFAULT_TOKENS_PER_MILLI;
 
 	/**
 	 * A prompt was read.
-	 * @param ahead the work that waited when it was sent, with its own
-	 * @param took nanoseconds from then to its first event
+	 * @param workAhead the work that waited when it was sent, with its own
+	 * @param elapsed nanoseconds from then to its first event
 	 */
-	void read(long ahead, long took) {
-		if (ahead >= LEAST_WORK && took > 0) {
-			double seen = ahead * 1e6 / took;
-			double bounded = Math.max(USUAL_TOKENS_PER_MILLI / MOST_FACTOR,
-					Math.min(USUAL_TOKENS_PER_MILLI * MOST_FACTOR, seen));
-			double most = MOST_STEP * this.tokensPerMilli;
-			double step = WEIGHT * (bounded - this.tokensPerMilli);
-			this.tokensPerMilli += Math.max(-most, Math.min(most, step));
+	void observe(long workAhead, long elapsed) {
+		if (workAhead >= MIN_WORK && elapsed > 0) {
+			double observed = workAhead * 1e6 / elapsed;
+			double bounded = Math.max(DEFAULT_TOKENS_PER_MILLI / MAX_FACTOR,
+					Math.min(DEFAULT_TOKENS_PER_MILLI * MAX_FACTOR, observed));
+			double maxStep = MAX_STEP * this.tokensPerMilli;
+			double step = SMOOTHING_WEIGHT * (bounded - this.tokensPerMilli);
+			this.tokensPerMilli += Math.max(-maxStep, Math.min(maxStep, step));
 		}
 	}
 
@@ -57,7 +57,7 @@
 	 * @param work the work in prompt tokens
 	 * @return nanoseconds
 	 */
-	long nanos(long work) {
+	long estimateNanos(long work) {
 		return (long) (work / this.tokensPerMilli * 1e6);
 	}
 
--- a/core/src/main/java/org/acaciacourse/core/balance/PromptMemory.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/PrefixCacheModel.java
@@ -14,29 +14,29 @@
  * <p>
  * Not thread safe: belongs to one {@link EndpointLoad}.
  */
-final class PromptMemory {
+final class PrefixCacheModel {
 
 	/**
 	 * The part of an engine's memory that is left for shared parts beside the requests
 	 * that run: a full batch of common prompts takes about half of it.
 	 */
-	private static final double SHARE_FOR_PARTS = 0.5;
+	private static final double SHARED_PREFIX_FRACTION = 0.5;
 
 	/** Engines of today hold this many tokens or more; until the size is told. */
-	private static final long USUAL_TOKENS = 400_000;
+	private static final long DEFAULT_ENGINE_TOKENS = 400_000;
 
-	private final Map<Long, Long> parts = new LinkedHashMap<>(16, 0.75f, true);
+	private final Map<Long, Long> tokensByPart = new LinkedHashMap<>(16, 0.75f, true);
 
-	private long capacity = (long) (USUAL_TOKENS * SHARE_FOR_PARTS);
+	private long capacity = (long) (DEFAULT_ENGINE_TOKENS * SHARED_PREFIX_FRACTION);
 
 	private long tokens;
 
 	/**
 	 * Set the size of the engine's memory.
-	 * @param engineTokens the tokens that it holds, with those of running requests
+	 * @param tokens the tokens that it holds, with those of running requests
 	 */
-	void engineTokens(long engineTokens) {
-		this.capacity = (long) (engineTokens * SHARE_FOR_PARTS);
+	void engineCacheTokens(long tokens) {
+		this.capacity = (long) (tokens * SHARED_PREFIX_FRACTION);
 		evict();
 	}
 
@@ -44,17 +44,17 @@
 	 * The engine reads or uses a part.
 	 * @param part the part
 	 */
-	void use(PromptShape.Part part) {
+	void recordUse(PromptShape.Part part) {
 		// Callers and datagrams tell the size: a wrong one must not spoil the sum.
 		long size = Math.max(0, Math.min(this.capacity, part.tokens()));
-		Long before = this.parts.put(part.id(), size);
+		Long before = this.tokensByPart.put(part.id(), size);
 		this.tokens += size - ((before != null) ? before : 0);
 		evict();
 	}
 
 	private void evict() {
-		Iterator<Long> eldest = this.parts.values().iterator();
-		while (this.tokens > this.capacity && this.parts.size() > 1) {
+		Iterator<Long> eldest = this.tokensByPart.values().iterator();
+		while (this.tokens > this.capacity && this.tokensByPart.size() > 1) {
 			this.tokens -= eldest.next();
 			eldest.remove();
 		}
@@ -66,21 +66,21 @@
 	 * @param shape the prompt
 	 * @return the tokens of the leading shared parts that are held
 	 */
-	long held(PromptShape shape) {
-		long held = 0;
+	long cachedTokens(PromptShape shape) {
+		long cached = 0;
 		for (int i = 0; i < shape.parts().size() - 1; i++) {
 			PromptShape.Part part = shape.parts().get(i);
-			if (!this.parts.containsKey(part.id())) {
+			if (!this.tokensByPart.containsKey(part.id())) {
 				break;
 			}
-			held += part.tokens();
+			cached += part.tokens();
 		}
-		return held;
+		return cached;
 	}
 
 	/** The engine started again: it holds nothing. */
-	void forget() {
-		this.parts.clear();
+	void clear() {
+		this.tokensByPart.clear();
 		this.tokens = 0;
 	}
 
--- a/core/src/main/java/org/acaciacourse/core/balance/PromptShape.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/PromptShape.java
@@ -52,13 +52,13 @@
 	 * Return what an engine has to do to read the prompt, in tokens of a short prompt.
 	 * Each token is compared with all before it, so that the work grows faster than the
 	 * prompt.
-	 * @param held the tokens that the engine holds already
+	 * @param cached the tokens that the engine holds already
 	 * @return the work
 	 */
-	public long work(long held) {
-		long fresh = Math.max(0, this.promptTokens - held);
-		double before = held + fresh / 2.0;
-		return (long) (fresh * (1 + before / TOKENS_PER_COMPARISON));
+	public long work(long cached) {
+		long uncached = Math.max(0, this.promptTokens - cached);
+		double before = cached + uncached / 2.0;
+		return (long) (uncached * (1 + before / TOKENS_PER_COMPARISON));
 	}
 
 	/**
--- a/core/src/main/java/org/acaciacourse/core/balance/RelayChoice.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/RelaySelector.java
@@ -23,23 +23,23 @@
  * <p>
  * Not thread safe: belongs to one {@link LoadExchange}.
  */
-final class RelayChoice {
+final class RelaySelector {
 
 	/** Bounds what a relay receives and sends. */
-	static final int MOST_IN_GROUP = 24;
+	static final int MAX_GROUP_SIZE = 24;
 
 	/**
 	 * How long a relay may be silent to those that report to it: three views.
 	 */
-	static final long SILENT_NANOS = 600_000_000L;
+	static final long RELAY_TIMEOUT_NANOS = 600_000_000L;
 
 	/** How long a silent relay is passed over: longer than most VMs are frozen. */
-	static final long PASSED_OVER_NANOS = 3_000_000_000L;
+	static final long EXCLUSION_NANOS = 3_000_000_000L;
 
-	private static final long PROBE_NANOS = 500_000_000L;
+	private static final long PROBE_INTERVAL_NANOS = 500_000_000L;
 
 	/** The preferred relay of a group and the one that stands in for it. */
-	private static final int PROBED = 2;
+	private static final int PROBED_PER_GROUP = 2;
 
 	private static final LongHashFunction HASH = LongHashFunction.xx3();
 
@@ -50,20 +50,20 @@
 
 	private Map<String, String> groupOf = Map.of();
 
-	private final Map<String, Long> passedOverUntil = new HashMap<>();
+	private final Map<String, Long> excludedUntil = new HashMap<>();
 
-	private final Map<String, Long> heardAt = new HashMap<>();
+	private final Map<String, Long> summaryReceivedAt = new HashMap<>();
 
 	/** Since when no relay of a group was heard. */
-	private final Map<String, Long> missingSince = new HashMap<>();
+	private final Map<String, Long> withoutRelaySince = new HashMap<>();
 
 	private long probedAt;
 
-	private String asked = "";
+	private String currentRelay = "";
 
-	private long answeredAt;
+	private long viewReceivedAt;
 
-	RelayChoice(LoadPeer self) {
+	RelaySelector(LoadPeer self) {
 		this.self = self;
 	}
 
@@ -76,7 +76,7 @@
 		all.add(this.self);
 		Map<String, List<String>> next = new TreeMap<>();
 		all.stream().collect(Collectors.groupingBy(LoadPeer::dataCentre)).forEach((dataCentre, vms) -> {
-			int parts = (vms.size() + MOST_IN_GROUP - 1) / MOST_IN_GROUP;
+			int parts = (vms.size() + MAX_GROUP_SIZE - 1) / MAX_GROUP_SIZE;
 			vms.forEach((vm) -> next
 				.computeIfAbsent(dataCentre + "/" + Math.floorMod(hash(vm.address()), parts),
 						(name) -> new ArrayList<>())
@@ -88,9 +88,9 @@
 		next.forEach((name, vms) -> vms.forEach((vm) -> names.put(vm, name)));
 		this.groups = next;
 		this.groupOf = names;
-		this.heardAt.keySet().retainAll(names.keySet());
-		this.missingSince.keySet().retainAll(next.keySet());
-		this.passedOverUntil.keySet().retainAll(names.keySet());
+		this.summaryReceivedAt.keySet().retainAll(names.keySet());
+		this.withoutRelaySince.keySet().retainAll(next.keySet());
+		this.excludedUntil.keySet().retainAll(names.keySet());
 	}
 
 	private static long hash(String text) {
@@ -107,23 +107,23 @@
 			if (vm.equals(this.self.address())) {
 				return Optional.empty();
 			}
-			if (this.passedOverUntil.getOrDefault(vm, now) <= now && isAnswering(vm, now)) {
+			if (this.excludedUntil.getOrDefault(vm, now) <= now && isResponsive(vm, now)) {
 				return Optional.of(vm);
 			}
 		}
 		return Optional.empty();
 	}
 
-	private boolean isAnswering(String vm, long now) {
-		if (!this.asked.equals(vm)) {
-			this.asked = vm;
-			this.answeredAt = now;
+	private boolean isResponsive(String vm, long now) {
+		if (!this.currentRelay.equals(vm)) {
+			this.currentRelay = vm;
+			this.viewReceivedAt = now;
 		}
-		if (now - this.answeredAt <= SILENT_NANOS) {
+		if (now - this.viewReceivedAt <= RELAY_TIMEOUT_NANOS) {
 			return true;
 		}
-		this.passedOverUntil.put(vm, now + PASSED_OVER_NANOS);
-		this.asked = "";
+		this.excludedUntil.put(vm, now + EXCLUSION_NANOS);
+		this.currentRelay = "";
 		return false;
 	}
 
@@ -133,11 +133,11 @@
 	 * @param now the time
 	 * @return whether the sender is the relay that this VM reports to
 	 */
-	boolean answered(String sender, long now) {
-		if (!this.asked.equals(sender)) {
+	boolean viewReceived(String sender, long now) {
+		if (!this.currentRelay.equals(sender)) {
 			return false;
 		}
-		this.answeredAt = now;
+		this.viewReceivedAt = now;
 		return true;
 	}
 
@@ -146,27 +146,27 @@
 	 * @param sender who sent it
 	 * @param now the time
 	 */
-	void summedUp(String sender, long now) {
+	void summaryReceived(String sender, long now) {
 		if (this.groupOf.containsKey(sender)) {
-			this.heardAt.put(sender, now);
+			this.summaryReceivedAt.put(sender, now);
 		}
 	}
 
 	// A relay that was silent for a while wakes up and has no reports: it must hear of
 	// the one that stands in for it.
-	private List<String> preferredToSelf() {
+	private List<String> rankedAboveSelf() {
 		List<String> own = this.groups.get(this.groupOf.get(this.self.address()));
 		return own.subList(0, own.indexOf(this.self.address()));
 	}
 
 	// Relays that were out of contact and those that stood in for them would each know
 	// only their like.
-	private List<String> probed(long now) {
-		if (now - this.probedAt < PROBE_NANOS) {
+	private List<String> probeTargets(long now) {
+		if (now - this.probedAt < PROBE_INTERVAL_NANOS) {
 			return List.of();
 		}
 		this.probedAt = now;
-		return this.groups.values().stream().flatMap((vms) -> vms.stream().limit(PROBED)).toList();
+		return this.groups.values().stream().flatMap((vms) -> vms.stream().limit(PROBED_PER_GROUP)).toList();
 	}
 
 	/**
@@ -176,24 +176,27 @@
 	 * @param now the time
 	 * @return their addresses
 	 */
-	List<String> others(long now) {
-		this.heardAt.values().removeIf((at) -> now - at > PeerLoads.SILENT_NANOS);
-		Set<String> others = new LinkedHashSet<>(this.heardAt.keySet());
-		others.addAll(preferredToSelf());
-		others.addAll(probed(now));
-		Set<String> heard = this.heardAt.keySet().stream().map(this.groupOf::get).collect(Collectors.toSet());
+	List<String> summaryReceivers(long now) {
+		this.summaryReceivedAt.values().removeIf((at) -> now - at > PeerLoads.EXPIRY_NANOS);
+		Set<String> receivers = new LinkedHashSet<>(this.summaryReceivedAt.keySet());
+		receivers.addAll(rankedAboveSelf());
+		receivers.addAll(probeTargets(now));
+		Set<String> groupsWithRelay = this.summaryReceivedAt.keySet()
+			.stream()
+			.map(this.groupOf::get)
+			.collect(Collectors.toSet());
 		String own = this.groupOf.get(this.self.address());
 		this.groups.forEach((name, vms) -> {
-			if (heard.contains(name) || name.equals(own)) {
-				this.missingSince.remove(name);
+			if (groupsWithRelay.contains(name) || name.equals(own)) {
+				this.withoutRelaySince.remove(name);
 			}
 			else {
-				long since = this.missingSince.computeIfAbsent(name, (missing) -> now);
-				others.add(vms.get((int) ((now - since) / SILENT_NANOS % vms.size())));
+				long since = this.withoutRelaySince.computeIfAbsent(name, (missing) -> now);
+				receivers.add(vms.get((int) ((now - since) / RELAY_TIMEOUT_NANOS % vms.size())));
 			}
 		});
-		others.remove(this.self.address());
-		return List.copyOf(others);
+		receivers.remove(this.self.address());
+		return List.copyOf(receivers);
 	}
 
 }
--- a/core/src/main/java/org/acaciacourse/core/balance/RetryAllowance.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/RetryAllowance.java
@@ -28,20 +28,20 @@
 	private static final double MARGIN = 0.9;
 
 	/** With less no retry would ever be permitted. */
-	private static final double LEAST_BURST = 1;
+	private static final double MIN_BURST = 1;
 
 	private final long startedAt;
 
 	private final long windowNanos;
 
-	private final double earned;
+	private final double earnedPerRequest;
 
 	private final double minimum;
 
 	/** The debt just before events of the window, the lowest first. */
 	private final Deque<Mark> marks = new ArrayDeque<>();
 
-	private double burst = LEAST_BURST;
+	private double burst = MIN_BURST;
 
 	/** Retries since the start, less what all requests since then earned. */
 	private double debt;
@@ -59,7 +59,7 @@
 	public RetryAllowance(long startedAt, long windowNanos, double ratio, double minimum) {
 		this.startedAt = startedAt;
 		this.windowNanos = (long) (windowNanos * (2 - MARGIN));
-		this.earned = MARGIN * ratio;
+		this.earnedPerRequest = MARGIN * ratio;
 		this.minimum = minimum;
 	}
 
@@ -68,8 +68,7 @@
 	 * @param count the number of VMs, empty if it is not known
 	 */
 	public void sharers(OptionalInt count) {
-		this.burst = (count.isPresent()) ? Math.max(LEAST_BURST, MARGIN * this.minimum / count.getAsInt())
-				: LEAST_BURST;
+		this.burst = (count.isPresent()) ? Math.max(MIN_BURST, MARGIN * this.minimum / count.getAsInt()) : MIN_BURST;
 	}
 
 	/**
@@ -77,7 +76,7 @@
 	 * @param now the time
 	 */
 	public void request(long now) {
-		add(-this.earned, now);
+		add(-this.earnedPerRequest, now);
 	}
 
 	/**
@@ -104,7 +103,7 @@
 	 * @return the number of retries, reserved ones included
 	 */
 	public double balance(long now) {
-		forget(now);
+		expire(now);
 		double lowest = (this.marks.isEmpty()) ? this.debt : Math.min(this.debt, this.marks.getFirst().debt());
 		double inWindow = this.burst - (this.debt - lowest);
 		boolean young = now - this.startedAt <= this.windowNanos;
@@ -146,7 +145,7 @@
 	// Of two moments the later one with the lower debt bounds the retries for longer and
 	// by more: the earlier one is not needed.
 	private void add(double change, long now) {
-		forget(now);
+		expire(now);
 		while (!this.marks.isEmpty() && this.marks.getLast().debt() >= this.debt) {
 			this.marks.removeLast();
 		}
@@ -154,7 +153,7 @@
 		this.debt += change;
 	}
 
-	private void forget(long now) {
+	private void expire(long now) {
 		while (!this.marks.isEmpty() && now - this.marks.getFirst().at() > this.windowNanos) {
 			this.marks.removeFirst();
 		}
--- a/core/src/main/java/org/acaciacourse/core/balance/RoutingMechanism.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/RoutingMechanism.java
@@ -79,16 +79,16 @@
 
 	private final String label;
 
-	private final Optional<RoutingMechanism> needs;
+	private final Optional<RoutingMechanism> dependency;
 
 	RoutingMechanism(String label) {
 		this.label = label;
-		this.needs = Optional.empty();
+		this.dependency = Optional.empty();
 	}
 
-	RoutingMechanism(String label, RoutingMechanism needs) {
+	RoutingMechanism(String label, RoutingMechanism dependency) {
 		this.label = label;
-		this.needs = Optional.of(needs);
+		this.dependency = Optional.of(dependency);
 	}
 
 	/**
@@ -112,8 +112,8 @@
 	 * Return the mechanism without which this one has no effect.
 	 * @return that mechanism, if there is one
 	 */
-	public Optional<RoutingMechanism> needs() {
-		return this.needs;
+	public Optional<RoutingMechanism> dependency() {
+		return this.dependency;
 	}
 
 }
--- a/core/src/main/java/org/acaciacourse/core/balance/RoutingParameter.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/RoutingParameter.java
@@ -154,11 +154,11 @@
 
 	private final Range range;
 
-	RoutingParameter(String label, String unit, double defaultValue, double least, double most) {
+	RoutingParameter(String label, String unit, double defaultValue, double min, double max) {
 		this.label = label;
 		this.unit = unit;
 		this.defaultValue = defaultValue;
-		this.range = new Range(least, most);
+		this.range = new Range(min, max);
 	}
 
 	/**
--- a/core/src/main/java/org/acaciacourse/core/balance/RoutingPolicy.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/RoutingPolicy.java
@@ -32,8 +32,8 @@
 		EnumMap<RoutingParameter, Double> given = new EnumMap<>(RoutingParameter.class);
 		given.putAll(values);
 		values = Collections.unmodifiableMap(given);
-		if (!withoutNeeded(off).isEmpty()) {
-			throw new IllegalArgumentException("on without what they need: " + withoutNeeded(off));
+		if (!withUnmetDependency(off).isEmpty()) {
+			throw new IllegalArgumentException("on without what they need: " + withUnmetDependency(off));
 		}
 		values.forEach((parameter, value) -> {
 			if (!parameter.permits(value)) {
@@ -47,11 +47,11 @@
 	 * @param off the mechanisms that are off
 	 * @return those mechanisms
 	 */
-	static List<RoutingMechanism> withoutNeeded(Set<RoutingMechanism> off) {
+	static List<RoutingMechanism> withUnmetDependency(Set<RoutingMechanism> off) {
 		return EnumSet.allOf(RoutingMechanism.class)
 			.stream()
 			.filter((mechanism) -> !off.contains(mechanism))
-			.filter((mechanism) -> mechanism.needs().filter(off::contains).isPresent())
+			.filter((mechanism) -> mechanism.dependency().filter(off::contains).isPresent())
 			.toList();
 	}
 
--- a/core/src/main/java/org/acaciacourse/core/balance/RoutingPolicyParser.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/RoutingPolicyParser.java
@@ -69,18 +69,18 @@
 				name = entry.getValue();
 			}
 			else {
-				tell(entry.getKey(), (entry.getKey().equals(NAME)) ? "empty" : "no mechanism and no parameter");
+				addProblem(entry.getKey(), (entry.getKey().equals(NAME)) ? "empty" : "no mechanism and no parameter");
 			}
 		}
-		RoutingPolicy.withoutNeeded(off)
-			.forEach((m) -> tell(m.label(), "needs " + m.needs().orElseThrow().label() + ", which is off"));
+		RoutingPolicy.withUnmetDependency(off)
+			.forEach((m) -> addProblem(m.label(), "needs " + m.dependency().orElseThrow().label() + ", which is off"));
 		return (this.problems.isEmpty()) ? Either.right(new RoutingPolicy(name, off, values))
 				: Either.left(this.problems);
 	}
 
 	private boolean isOff(Map.Entry<String, String> entry) {
 		if (!entry.getValue().equals(ON) && !entry.getValue().equals(OFF)) {
-			tell(entry.getKey(), "expected on or off");
+			addProblem(entry.getKey(), "expected on or off");
 		}
 		return entry.getValue().equals(OFF);
 	}
@@ -95,11 +95,11 @@
 		catch (NumberFormatException ex) {
 			// Told below, as for a number out of range.
 		}
-		tell(entry.getKey(), "expected a number " + parameter.range());
+		addProblem(entry.getKey(), "expected a number " + parameter.range());
 		return Optional.empty();
 	}
 
-	private void tell(String key, String text) {
+	private void addProblem(String key, String text) {
 		this.problems.add(new Problem(this.ini.line(SECTION, key), SECTION, key, text));
 	}
 
--- a/core/src/main/java/org/acaciacourse/core/balance/SharerCount.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/SharerCount.java
@@ -29,14 +29,14 @@
 	/** The lease, then a window of the budget, in which its last retries count. */
 	private static final int HOLD_SECONDS = 25;
 
-	private static final long SECOND = 1_000_000_000L;
+	private static final long NANOS_PER_SECOND = 1_000_000_000L;
 
 	/** The highest first, and of equal ones the last. */
-	private final Deque<Told> told = new ArrayDeque<>();
+	private final Deque<Observation> counts = new ArrayDeque<>();
 
-	private long firstAt;
+	private long firstReceivedAt;
 
-	private long lastAt;
+	private long lastReceivedAt;
 
 	/**
 	 * Take a count.
@@ -44,22 +44,22 @@
 	 * @param now the time
 	 */
 	public void told(int count, long now) {
-		if (this.told.isEmpty()) {
-			this.firstAt = now;
+		if (this.counts.isEmpty()) {
+			this.firstReceivedAt = now;
 		}
 		else if (isSilent(now)) {
 			// A control VM that started meanwhile knows less than was known before.
-			int before = this.told.getFirst().count();
-			this.told.clear();
-			this.told.addLast(new Told(now, before));
+			int before = this.counts.getFirst().count();
+			this.counts.clear();
+			this.counts.addLast(new Observation(now, before));
 		}
-		this.lastAt = now;
-		while (!this.told.isEmpty() && this.told.getLast().count() <= count) {
-			this.told.removeLast();
+		this.lastReceivedAt = now;
+		while (!this.counts.isEmpty() && this.counts.getLast().count() <= count) {
+			this.counts.removeLast();
 		}
-		this.told.addLast(new Told(now, count));
-		while (now - this.told.getFirst().at() > HOLD_SECONDS * SECOND) {
-			this.told.removeFirst();
+		this.counts.addLast(new Observation(now, count));
+		while (now - this.counts.getFirst().at() > HOLD_SECONDS * NANOS_PER_SECOND) {
+			this.counts.removeFirst();
 		}
 	}
 
@@ -69,7 +69,8 @@
 	 * @return the number, at least 1, or empty if it is not known
 	 */
 	public OptionalInt sharers(long now) {
-		boolean known = !this.told.isEmpty() && !isSilent(now) && now - this.firstAt >= START_SECONDS * SECOND;
+		boolean known = !this.counts.isEmpty() && !isSilent(now)
+				&& now - this.firstReceivedAt >= START_SECONDS * NANOS_PER_SECOND;
 		return (known) ? OptionalInt.of(Math.max(1, highest())) : OptionalInt.empty();
 	}
 
@@ -78,7 +79,7 @@
 	 * @return the number, 0 before the first one
 	 */
 	public int highest() {
-		return (this.told.isEmpty()) ? 0 : this.told.getFirst().count();
+		return (this.counts.isEmpty()) ? 0 : this.counts.getFirst().count();
 	}
 
 	/**
@@ -86,11 +87,11 @@
 	 * @return the number, 0 before the first one
 	 */
 	public int latest() {
-		return (this.told.isEmpty()) ? 0 : this.told.getLast().count();
+		return (this.counts.isEmpty()) ? 0 : this.counts.getLast().count();
 	}
 
 	private boolean isSilent(long now) {
-		return now - this.lastAt > LEASE_SECONDS * SECOND;
+		return now - this.lastReceivedAt > LEASE_SECONDS * NANOS_PER_SECOND;
 	}
 
 	/**
@@ -99,7 +100,7 @@
 	 * @param at when
 	 * @param count the number of entry VMs
 	 */
-	private record Told(long at, int count) {
+	private record Observation(long at, int count) {
 	}
 
 }
--- a/core/src/main/java/org/acaciacourse/core/balance/Turn.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/Turn.java
@@ -16,11 +16,11 @@
 
 	private final boolean delaysOthers;
 
-	private final boolean tellsPace;
+	private final boolean indicatesPrefillRate;
 
-	Turn(boolean delaysOthers, boolean tellsPace) {
+	Turn(boolean delaysOthers, boolean indicatesPrefillRate) {
 		this.delaysOthers = delaysOthers;
-		this.tellsPace = tellsPace;
+		this.indicatesPrefillRate = indicatesPrefillRate;
 	}
 
 	/**
@@ -38,8 +38,8 @@
 	 * as fast, and no prompt looks late.
 	 * @return whether its wait tells how fast the engine reads
 	 */
-	boolean tellsPace() {
-		return this.tellsPace;
+	boolean indicatesPrefillRate() {
+		return this.indicatesPrefillRate;
 	}
 
 }
--- a/core/src/main/java/org/acaciacourse/core/balance/ToldTwice.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/UseAnnouncements.java
@@ -7,32 +7,32 @@
 
 /**
  * Uses of prompt parts that are to be told, each in two digests in a row, as datagrams
- * are lost. Invariant: at most {@value #MOST} wait.
+ * are lost. Invariant: at most {@value #MAX_PENDING} wait.
  * <p>
  * Not thread safe: belongs to one {@link LoadExchange}.
  */
-final class ToldTwice {
+final class UseAnnouncements {
 
 	/** More than a group of VMs has between two digests. */
-	private static final int MOST = 300;
+	private static final int MAX_PENDING = 300;
 
-	private final Set<PartUse> untold = new LinkedHashSet<>();
+	private final Set<PartUse> pending = new LinkedHashSet<>();
 
-	private List<PartUse> toldOnce = List.of();
+	private List<PartUse> announcedOnce = List.of();
 
 	void add(Collection<PartUse> uses) {
-		uses.stream().limit(Math.max(0, MOST - this.untold.size())).forEach(this.untold::add);
+		uses.stream().limit(Math.max(0, MAX_PENDING - this.pending.size())).forEach(this.pending::add);
 	}
 
 	/**
 	 * Return the uses for a digest that is sent now.
 	 * @return those since the one before and those of that one
 	 */
-	List<PartUse> next() {
-		Set<PartUse> all = new LinkedHashSet<>(this.untold);
-		all.addAll(this.toldOnce);
-		this.toldOnce = List.copyOf(this.untold);
-		this.untold.clear();
+	List<PartUse> forNextDigest() {
+		Set<PartUse> all = new LinkedHashSet<>(this.pending);
+		all.addAll(this.announcedOnce);
+		this.announcedOnce = List.copyOf(this.pending);
+		this.pending.clear();
 		return List.copyOf(all);
 	}
 
--- a/core/src/test/java/org/acaciacourse/core/balance/BalancerTestBase.java
+++ b/core/src/test/java/org/acaciacourse/core/balance/BalancerTestBase.java
@@ -31,8 +31,9 @@
 				List.of(new PromptShape.Part(sharedId, 13_000), new PromptShape.Part(-sharedId, 1_000)));
 	}
 
-	Optional<String> choose(PromptShape shape, long salt, Set<String> without, long now) {
-		return this.balancer.choose(new Placement(shape, true, false, salt, without), now).map(FleetEndpoint::instance);
+	Optional<String> choose(PromptShape shape, long salt, Set<String> excluded, long now) {
+		return this.balancer.choose(new Placement(shape, true, false, salt, excluded), now)
+			.map(FleetEndpoint::instance);
 	}
 
 	Optional<String> chooseBrief(PromptShape shape, long salt) {
--- a/core/src/test/java/org/acaciacourse/core/balance/BriefEnginesTests.java
+++ b/core/src/test/java/org/acaciacourse/core/balance/BriefEnginesTests.java
@@ -17,7 +17,7 @@
 
 	private static final long STEP = SECOND / 20;
 
-	private static final long USUAL_PROMPT = 10_000;
+	private static final long TYPICAL_PROMPT = 10_000;
 
 	private final BriefEngines engines = new BriefEngines();
 
@@ -34,26 +34,26 @@
 		this.engines.divide(this.loads);
 	}
 
-	private long forBrief() {
+	private long reservedCount() {
 		return this.loads.stream().filter(this.engines::contains).count();
 	}
 
-	private EndpointLoad anyForBrief() {
+	private EndpointLoad anyReserved() {
 		return this.loads.stream().filter(this.engines::contains).findFirst().orElseThrow();
 	}
 
-	private void run(int brief) {
-		EndpointLoad load = anyForBrief();
+	private void runBrief(int brief) {
+		EndpointLoad load = anyReserved();
 		IntStream.range(0, brief).forEach((i) -> load.briefBegan());
 	}
 
-	private void waitEverywhereElse(long work) {
+	private void queueOnOthers(long work) {
 		this.loads.stream().filter((load) -> !this.engines.contains(load)).forEach((load) -> load.begin(work));
 	}
 
-	private void pass(long nanos) {
+	private void advance(long nanos) {
 		for (long end = this.now + nanos; this.now < end; this.now += STEP) {
-			this.engines.follow(this.now);
+			this.engines.update(this.now);
 		}
 	}
 
@@ -65,13 +65,13 @@
 		 * engines kept for these, half of the long prompts are late.
 		 */
 		@Test
-		void engineThatIsNotNeededIsGivenBack() {
+		void unneededReservedEngineIsReleased() {
 			pool(6, 64);
-			assertThat(forBrief()).isEqualTo(2);
-			run(25);
-			waitEverywhereElse(2 * USUAL_PROMPT);
-			pass(2 * SECOND);
-			assertThat(forBrief()).isEqualTo(1);
+			assertThat(reservedCount()).isEqualTo(2);
+			runBrief(25);
+			queueOnOthers(2 * TYPICAL_PROMPT);
+			advance(2 * SECOND);
+			assertThat(reservedCount()).isEqualTo(1);
 		}
 
 		/*
@@ -79,24 +79,24 @@
 		 * of them would be late. They are more urgent.
 		 */
 		@Test
-		void engineIsKeptThatBriefRequestsNeed() {
+		void reservedEngineIsKeptWhileBriefRequestsNeedIt() {
 			pool(6, 64);
-			run(60);
-			waitEverywhereElse(2 * USUAL_PROMPT);
-			pass(2 * SECOND);
-			assertThat(forBrief()).isEqualTo(2);
+			runBrief(60);
+			queueOnOthers(2 * TYPICAL_PROMPT);
+			advance(2 * SECOND);
+			assertThat(reservedCount()).isEqualTo(2);
 		}
 
 		/* A clump of prompts that is read in a moment is no burst. */
 		@Test
-		void clumpOfPromptsChangesNothing() {
+		void shortPromptClusterChangesNothing() {
 			pool(6, 64);
-			run(25);
-			waitEverywhereElse(2 * USUAL_PROMPT);
-			pass(2 * STEP);
-			this.loads().forEach((load) -> load.promptRead(2 * USUAL_PROMPT));
-			pass(2 * SECOND);
-			assertThat(forBrief()).isEqualTo(2);
+			runBrief(25);
+			queueOnOthers(2 * TYPICAL_PROMPT);
+			advance(2 * STEP);
+			this.loads().forEach((load) -> load.prefillDone(2 * TYPICAL_PROMPT));
+			advance(2 * SECOND);
+			assertThat(reservedCount()).isEqualTo(2);
 		}
 
 		private List<EndpointLoad> loads() {
@@ -111,36 +111,36 @@
 		@Test
 		void nearlyFullEngineGetsAnotherOneWhateverWaitsElsewhere() {
 			pool(4, 64);
-			assertThat(forBrief()).isEqualTo(1);
-			waitEverywhereElse(5 * USUAL_PROMPT);
-			run(60);
-			pass(SECOND);
-			assertThat(forBrief()).isEqualTo(2);
+			assertThat(reservedCount()).isEqualTo(1);
+			queueOnOthers(5 * TYPICAL_PROMPT);
+			runBrief(60);
+			advance(SECOND);
+			assertThat(reservedCount()).isEqualTo(2);
 		}
 
 		@Test
-		void engineThatNobodyElseNeedsIsTheirs() {
+		void idleEngineIsReserved() {
 			pool(4, 64);
-			run(20);
-			pass(SECOND);
-			assertThat(forBrief()).isEqualTo(2);
+			runBrief(20);
+			advance(SECOND);
+			assertThat(reservedCount()).isEqualTo(2);
 		}
 
 		@Test
-		void halfOfTheEnginesIsTheMost() {
+		void atMostHalfOfTheEnginesAreReserved() {
 			pool(4, 64);
-			run(500);
-			pass(10 * SECOND);
-			assertThat(forBrief()).isEqualTo(2);
+			runBrief(500);
+			advance(10 * SECOND);
+			assertThat(reservedCount()).isEqualTo(2);
 		}
 
 		/* Many small engines and little to read: the number follows what runs. */
 		@Test
 		void manySmallEnginesFollowWithinSeconds() {
 			pool(40, 16);
-			run(70);
-			pass(8 * SECOND);
-			assertThat(forBrief()).isEqualTo(18);
+			runBrief(70);
+			advance(8 * SECOND);
+			assertThat(reservedCount()).isEqualTo(18);
 		}
 
 		/*
@@ -148,12 +148,12 @@
 		 * more in each half second they are still full when it is over.
 		 */
 		@Test
-		void burstGetsManyEnginesAtOnce() {
+		void burstReservesManyEnginesAtOnce() {
 			pool(100, 16);
-			waitEverywhereElse(USUAL_PROMPT);
-			run(570);
-			pass(SECOND);
-			assertThat(forBrief()).isEqualTo(40);
+			queueOnOthers(TYPICAL_PROMPT);
+			runBrief(570);
+			advance(SECOND);
+			assertThat(reservedCount()).isEqualTo(40);
 		}
 
 	}
@@ -168,25 +168,25 @@
 		@Test
 		void nextEngineStandsIn() {
 			pool(4, 64);
-			EndpointLoad lost = anyForBrief();
+			EndpointLoad lost = anyReserved();
 			lost.lost(0);
-			pass(STEP);
-			assertThat(forBrief()).isEqualTo(1);
+			advance(STEP);
+			assertThat(reservedCount()).isEqualTo(1);
 			assertThat(BriefEnginesTests.this.engines.contains(lost)).isFalse();
 			lost.succeeded();
-			pass(STEP);
+			advance(STEP);
 			assertThat(BriefEnginesTests.this.engines.contains(lost)).isTrue();
 		}
 
 		@Test
-		void nothingStandsInWhileThatIsOff() {
+		void nothingStandsInWhenSwitchedOff() {
 			pool(4, 64);
 			BriefEnginesTests.this.engines.policy(
 					new RoutingPolicy("p", Set.of(RoutingMechanism.BRIEF_STAND_INS), Map.of()),
 					BriefEnginesTests.this.loads);
-			EndpointLoad lost = anyForBrief();
+			EndpointLoad lost = anyReserved();
 			lost.lost(0);
-			pass(STEP);
+			advance(STEP);
 			assertThat(BriefEnginesTests.this.engines.contains(lost)).isTrue();
 		}
 
@@ -194,27 +194,27 @@
 		void poolOfLostEnginesStaysDivided() {
 			pool(4, 64);
 			BriefEnginesTests.this.loads.forEach((load) -> load.lost(0));
-			pass(STEP);
-			assertThat(forBrief()).isEqualTo(1);
+			advance(STEP);
+			assertThat(reservedCount()).isEqualTo(1);
 		}
 
 		/* Half of the engines leave while brief requests need all that they have. */
 		@Test
-		void smallerPoolIsDividedAnew() {
+		void smallerPoolIsRedivided() {
 			pool(8, 64);
-			run(500);
-			pass(5 * SECOND);
-			assertThat(forBrief()).isEqualTo(4);
+			runBrief(500);
+			advance(5 * SECOND);
+			assertThat(reservedCount()).isEqualTo(4);
 			BriefEnginesTests.this.engines.divide(BriefEnginesTests.this.loads.subList(0, 4));
-			pass(STEP);
-			assertThat(forBrief()).isEqualTo(2);
+			advance(STEP);
+			assertThat(reservedCount()).isEqualTo(2);
 		}
 
 		@Test
 		void fewEnginesAreNotDivided() {
 			pool(3, 64);
 			BriefEnginesTests.this.loads.forEach(EndpointLoad::briefBegan);
-			pass(SECOND);
+			advance(SECOND);
 			assertThat(BriefEnginesTests.this.engines.isDivided()).isFalse();
 		}
 
--- a/core/src/test/java/org/acaciacourse/core/balance/ChoiceSampleTests.java
+++ b/core/src/test/java/org/acaciacourse/core/balance/ChoiceSampleTests.java
@@ -26,57 +26,57 @@
 
 		private final PeerLoads peers = new PeerLoads();
 
-		private final ChoiceSample sample = new ChoiceSample(this.peers);
+		private final CandidateSampler sample = new CandidateSampler(this.peers);
 
-		private void digests(int vms, long pauseMillis) {
+		private void receiveDigests(int vms, long pauseMillis) {
 			for (int number = 1; number <= 30; number++) {
 				for (int vm = 0; vm < vms; vm++) {
-					this.peers.take("vm" + vm, number, List.of(), number * pauseMillis * MILLI);
+					this.peers.receive("vm" + vm, number, List.of(), number * pauseMillis * MILLI);
 				}
 			}
 		}
 
-		private void requests(int perSecond, long until) {
+		private void sendRequests(int perSecond, long until) {
 			for (long at = until - 3_000 * MILLI; at < until; at += 1_000 * MILLI / perSecond) {
-				this.sample.sent(at);
+				this.sample.requestSent(at);
 			}
 		}
 
 		@Test
-		void allAreComparedWhereNobodyElseSends() {
-			requests(100, 5_000 * MILLI);
+		void allAreComparedWithoutPeers() {
+			sendRequests(100, 5_000 * MILLI);
 			assertThat(this.sample.share(2, 5_000 * MILLI)).isEqualTo(1.0);
 		}
 
 		@Test
-		void allAreComparedWhileLittleIsUntold() {
-			digests(8, 80);
-			requests(4, 5_000 * MILLI);
+		void allAreComparedWhileFewRequestsAreUnreported() {
+			receiveDigests(8, 80);
+			sendRequests(4, 5_000 * MILLI);
 			assertThat(this.sample.share(2, 5_000 * MILLI)).isEqualTo(1.0);
 		}
 
 		@Test
-		void fewAreComparedWhereMuchIsUntold() {
-			digests(76, 760);
-			requests(8, 30_000 * MILLI);
+		void fewAreComparedWhenManyRequestsAreUnreported() {
+			receiveDigests(76, 760);
+			sendRequests(8, 30_000 * MILLI);
 			// 8 requests x 76 VMs x 0.38 s = 231
 			assertThat(this.sample.share(2, 30_000 * MILLI)).isWithin(0.002).of(2 / 231.0);
 		}
 
 		@Test
-		void quietVmComparesAllAgain() {
-			digests(76, 760);
-			requests(8, 30_000 * MILLI);
+		void idleVmComparesAllAgain() {
+			receiveDigests(76, 760);
+			sendRequests(8, 30_000 * MILLI);
 			assertThat(this.sample.share(2, 40_000 * MILLI)).isEqualTo(1.0);
 		}
 
 		private static long drawn(double share, int endpoints, long salt) {
-			ChoiceSample.Draw draw = new ChoiceSample.Draw(share, endpoints, salt);
-			return IntStream.range(0, endpoints).filter((i) -> draw.next()).count();
+			CandidateSampler.Draw draw = new CandidateSampler.Draw(share, endpoints, salt);
+			return IntStream.range(0, endpoints).filter((i) -> draw.isNextDrawn()).count();
 		}
 
 		@Test
-		void twoAreComparedAtLeast() {
+		void atLeastTwoAreCompared() {
 			assertThat(drawn(0.001, 98, 5)).isEqualTo(2);
 			assertThat(drawn(0.001, 1, 6)).isEqualTo(1);
 			assertThat(drawn(0.1, 98, 7)).isEqualTo(10);
@@ -87,16 +87,16 @@
 		// Engines for brief requests are neighbours in the order of their hashes: drawn
 		// from a random place among all, two of them would get what all entries send.
 		@Test
-		void eachEngineOfItsKindIsAsLikely() {
+		void enginesOfOneKindAreEquallyLikely() {
 			PoolBalancer balancer = new PoolBalancer(this.peers, (instance) -> true);
 			balancer.endpoints(endpoints(96));
-			digests(76, 760);
+			receiveDigests(76, 760);
 			Map<String, Integer> chosen = new HashMap<>();
 			for (int i = 0; i < 2_400; i++) {
-				Placement asked = new Placement(new PromptShape(500, 1, List.of()), false, true, i, Set.of());
+				Placement request = new Placement(new PromptShape(500, 1, List.of()), false, true, i, Set.of());
 				long at = 25_000 * MILLI + i * 10 * MILLI;
-				String instance = balancer.choose(asked, at).map(FleetEndpoint::instance).orElseThrow();
-				balancer.begin(instance, asked, Turn.AFTER_OTHERS, at).end(Outcome.GOOD, at);
+				String instance = balancer.choose(request, at).map(FleetEndpoint::instance).orElseThrow();
+				balancer.begin(instance, request, Turn.AFTER_OTHERS, at).end(Outcome.GOOD, at);
 				chosen.merge(instance, 1, Integer::sum);
 			}
 			assertThat(chosen).hasSize(24);
@@ -119,7 +119,7 @@
 
 		private static final int SLOTS = 16;
 
-		private static final int PAUSE_MILLIS = 800;
+		private static final int DIGEST_INTERVAL_MILLIS = 800;
 
 		private final List<PeerLoads> peers = new ArrayList<>();
 
@@ -131,31 +131,31 @@
 
 		private int waiting;
 
-		private void make(RoutingPolicy policy) {
+		private void createVms(RoutingPolicy policy) {
 			for (int i = 0; i < ENTRIES; i++) {
-				PeerLoads heard = new PeerLoads();
-				PoolBalancer balancer = new PoolBalancer(heard, (instance) -> true);
+				PeerLoads peerLoads = new PeerLoads();
+				PoolBalancer balancer = new PoolBalancer(peerLoads, (instance) -> true);
 				balancer.endpoints(endpoints(ENGINES));
 				balancer.policy(policy);
-				this.peers.add(heard);
+				this.peers.add(peerLoads);
 				this.balancers.add(balancer);
 			}
 		}
 
-		private void tell(int from, long at, long number) {
+		private void sendDigests(int from, long at, long number) {
 			List<PeerLoads.Load> loads = this.balancers.get(from).own();
 			for (int to = 0; to < ENTRIES; to++) {
 				if (to != from) {
-					this.peers.get(to).take("vm" + from, number, loads, at);
+					this.peers.get(to).receive("vm" + from, number, loads, at);
 				}
 			}
 		}
 
 		private void send(PoolBalancer balancer, long salt, long at) {
-			Placement asked = new Placement(PromptShape.NONE, false, false, salt, Set.of());
-			String instance = balancer.choose(asked, at).map(FleetEndpoint::instance).orElseThrow();
+			Placement request = new Placement(PromptShape.NONE, false, false, salt, Set.of());
+			String instance = balancer.choose(request, at).map(FleetEndpoint::instance).orElseThrow();
 			this.runs
-				.add(new Run(balancer.begin(instance, asked, Turn.AFTER_OTHERS, at), instance, at + 3_000 * MILLI));
+				.add(new Run(balancer.begin(instance, request, Turn.AFTER_OTHERS, at), instance, at + 3_000 * MILLI));
 			if (this.running.merge(instance, 1, Integer::sum) > SLOTS) {
 				this.waiting++;
 			}
@@ -169,14 +169,14 @@
 			}
 		}
 
-		private int play() {
+		private int simulate() {
 			Random random = new Random(7);
 			for (int milli = 0; milli < 10_000; milli++) {
 				long at = milli * MILLI;
 				endUntil(at);
 				for (int vm = 0; vm < ENTRIES; vm++) {
-					if (milli % PAUSE_MILLIS == vm * PAUSE_MILLIS / ENTRIES) {
-						tell(vm, at, milli + 1);
+					if (milli % DIGEST_INTERVAL_MILLIS == vm * DIGEST_INTERVAL_MILLIS / ENTRIES) {
+						sendDigests(vm, at, milli + 1);
 					}
 				}
 				if (random.nextInt(1_000) < 160) {
@@ -189,14 +189,14 @@
 		// Of some 1,600 requests one in a hundred may find all slots taken.
 		@Test
 		void fewWaitForASlot() {
-			make(RoutingPolicy.DEFAULT);
-			assertThat(play()).isAtMost(16);
+			createVms(RoutingPolicy.DEFAULT);
+			assertThat(simulate()).isAtMost(16);
 		}
 
 		@Test
-		void manyWaitWithoutTheSample() {
-			make(new RoutingPolicy("all", Set.of(RoutingMechanism.SAMPLED_CHOICE), Map.of()));
-			assertThat(play()).isAtLeast(100);
+		void manyWaitWithoutSampling() {
+			createVms(new RoutingPolicy("all", Set.of(RoutingMechanism.SAMPLED_CHOICE), Map.of()));
+			assertThat(simulate()).isAtLeast(100);
 		}
 
 		private record Run(PlacedRequest placed, String instance, long endsAt) {
--- a/core/src/test/java/org/acaciacourse/core/balance/ColdBurstTests.java
+++ b/core/src/test/java/org/acaciacourse/core/balance/ColdBurstTests.java
@@ -31,133 +31,134 @@
 	/** Beside answers that run, whose tokens come between the chunks of a prompt. */
 	private static final double TOKENS_PER_MILLI = 25;
 
-	private static final long SHARED = 13_300;
+	private static final long SHARED_TOKENS = 13_300;
 
-	private static final long OWN = 3_720;
+	private static final long OWN_TOKENS = 3_720;
 
-	private static final long MEMORY_FOR_PARTS = 270_000;
+	private static final long CACHE_FOR_PARTS = 270_000;
 
-	private static final int THINGS = 200;
+	private static final int TOPICS = 200;
 
-	private static final int PER_SECOND = 20;
+	private static final int REQUESTS_PER_SECOND = 20;
 
-	private static final int SECONDS = 9;
+	private static final int DURATION_SECONDS = 9;
 
 	private static final long TARGET_MILLIS = 2_000;
 
 	private static final int SEEDS = 10;
 
-	private static final RoutingPolicy WITHOUT_SECOND_HOME = new RoutingPolicy("one-home",
+	private static final RoutingPolicy WITHOUT_SECONDARY_HOME = new RoutingPolicy("one-home",
 			Set.of(RoutingMechanism.SECOND_HOME), Map.of());
 
-	private static final int PAUSE_MILLIS = 10 * ENTRIES;
+	private static final int DIGEST_INTERVAL_MILLIS = 10 * ENTRIES;
 
-	private final List<PeerLoads> heard = new ArrayList<>();
+	private final List<PeerLoads> peerLoads = new ArrayList<>();
 
 	private final List<PoolBalancer> balancers = new ArrayList<>();
 
 	private final Map<String, Engine> engines = new HashMap<>();
 
-	private final PriorityQueue<Reading> readings = new PriorityQueue<>((a, b) -> Long.compare(a.readAt(), b.readAt()));
+	private final PriorityQueue<Prefill> prefills = new PriorityQueue<>((a, b) -> Long.compare(a.doneAt(), b.doneAt()));
 
 	private int late;
 
-	private int asked;
+	private int requests;
 
-	private long readTokens;
+	private long prefillTokens;
 
-	private void make(RoutingPolicy policy) {
+	private void createVms(RoutingPolicy policy) {
 		for (int i = 0; i < ENTRIES; i++) {
-			PeerLoads told = new PeerLoads();
-			PoolBalancer next = new PoolBalancer(told, (instance) -> true);
+			PeerLoads loads = new PeerLoads();
+			PoolBalancer next = new PoolBalancer(loads, (instance) -> true);
 			next.endpoints(endpoints(ENGINES));
-			next.engineTokens(2 * MEMORY_FOR_PARTS);
+			next.engineTokens(2 * CACHE_FOR_PARTS);
 			next.policy(policy);
-			this.heard.add(told);
+			this.peerLoads.add(loads);
 			this.balancers.add(next);
 		}
 		endpoints(ENGINES).forEach((endpoint) -> this.engines.put(endpoint.instance(), new Engine()));
 	}
 
-	private void tell(int from, long at, long number) {
+	private void sendDigests(int from, long at, long number) {
 		List<PeerLoads.Load> loads = this.balancers.get(from).own();
 		List<PartUse> uses = this.balancers.get(from).takeUntold();
 		for (int to = 0; to < ENTRIES; to++) {
 			if (to != from) {
-				this.heard.get(to).take("vm" + from, number, loads, at);
+				this.peerLoads.get(to).receive("vm" + from, number, loads, at);
 				uses.forEach(this.balancers.get(to)::told);
 			}
 		}
 	}
 
-	private void send(PoolBalancer entry, long thing, long own, long at) {
-		PromptShape shape = new PromptShape(SHARED + OWN, 100,
-				List.of(new PromptShape.Part(thing, SHARED), new PromptShape.Part(own, OWN)));
+	private void send(PoolBalancer entry, long topic, long own, long at) {
+		PromptShape shape = new PromptShape(SHARED_TOKENS + OWN_TOKENS, 100,
+				List.of(new PromptShape.Part(topic, SHARED_TOKENS), new PromptShape.Part(own, OWN_TOKENS)));
 		Placement request = new Placement(shape, true, false, own, Set.of());
 		String instance = entry.choose(request, at).map(FleetEndpoint::instance).orElseThrow();
 		PlacedRequest placed = entry.begin(instance, request, Turn.AFTER_OTHERS, at);
-		long readAt = this.engines.get(instance).read(thing, shape, at);
-		this.readings.add(new Reading(placed, at, readAt));
-		this.asked++;
-		this.late += (readAt - at > TARGET_MILLIS * MILLI) ? 1 : 0;
+		long doneAt = this.engines.get(instance).prefill(topic, shape, at);
+		this.prefills.add(new Prefill(placed, at, doneAt));
+		this.requests++;
+		this.late += (doneAt - at > TARGET_MILLIS * MILLI) ? 1 : 0;
 	}
 
-	private void readUntil(long at) {
-		while (!this.readings.isEmpty() && this.readings.peek().readAt() <= at) {
-			Reading done = this.readings.poll();
-			done.placed().streamBegan(done.readAt() - done.sentAt());
-			done.placed().end(Outcome.GOOD, done.readAt());
+	private void completePrefills(long at) {
+		while (!this.prefills.isEmpty() && this.prefills.peek().doneAt() <= at) {
+			Prefill done = this.prefills.poll();
+			done.placed().streamBegan(done.doneAt() - done.sentAt());
+			done.placed().end(Outcome.GOOD, done.doneAt());
 		}
 	}
 
 	// Some are asked for often: the cube of an equal draw.
-	private static long thing(Random random) {
+	private static long drawTopic(Random random) {
 		double drawn = random.nextDouble();
-		return 1 + (long) (drawn * drawn * drawn * THINGS);
+		return 1 + (long) (drawn * drawn * drawn * TOPICS);
 	}
 
-	private void play(RoutingPolicy policy, long seed) {
-		make(policy);
+	private void simulate(RoutingPolicy policy, long seed) {
+		createVms(policy);
 		Random random = new Random(seed);
-		for (int milli = 0; milli < SECONDS * 1_000; milli++) {
+		for (int milli = 0; milli < DURATION_SECONDS * 1_000; milli++) {
 			long at = milli * MILLI;
-			readUntil(at);
+			completePrefills(at);
 			for (int vm = 0; vm < ENTRIES; vm++) {
-				if (milli % PAUSE_MILLIS == vm * PAUSE_MILLIS / ENTRIES) {
-					tell(vm, at, milli + 1);
+				if (milli % DIGEST_INTERVAL_MILLIS == vm * DIGEST_INTERVAL_MILLIS / ENTRIES) {
+					sendDigests(vm, at, milli + 1);
 				}
 			}
-			if (random.nextInt(1_000) < PER_SECOND) {
-				send(this.balancers.get(random.nextInt(ENTRIES)), thing(random), -1 - random.nextLong(1L << 40), at);
+			if (random.nextInt(1_000) < REQUESTS_PER_SECOND) {
+				send(this.balancers.get(random.nextInt(ENTRIES)), drawTopic(random), -1 - random.nextLong(1L << 40),
+						at);
 			}
 		}
 	}
 
-	private static Outcomes play(RoutingPolicy policy) {
-		Outcomes sum = new Outcomes(0, 0, 0);
+	private static Totals simulate(RoutingPolicy policy) {
+		Totals sum = new Totals(0, 0, 0);
 		for (long seed = 1; seed <= SEEDS; seed++) {
 			ColdBurstTests burst = new ColdBurstTests();
-			burst.play(policy, seed);
-			sum = sum.plus(new Outcomes(burst.asked, burst.late, burst.readTokens()));
+			burst.simulate(policy, seed);
+			sum = sum.plus(new Totals(burst.requests, burst.late, burst.prefillTokens()));
 		}
 		return sum;
 	}
 
 	@Test
-	void fewAreLateAndLittleIsReadTwice() {
-		Outcomes with = play(RoutingPolicy.DEFAULT);
-		Outcomes without = play(WITHOUT_SECOND_HOME);
+	void fewRequestsAreLateAndLittleIsPrefilledTwice() {
+		Totals with = simulate(RoutingPolicy.DEFAULT);
+		Totals without = simulate(WITHOUT_SECONDARY_HOME);
 		assertThat(with.lateShare()).isLessThan(0.18);
-		assertThat(with.readTokens()).isLessThan(without.readTokens() * 105 / 100);
+		assertThat(with.prefillTokens()).isLessThan(without.prefillTokens() * 105 / 100);
 	}
 
 	@Test
-	void manyAreLateWhereAPartHasOneHome() {
-		assertThat(play(WITHOUT_SECOND_HOME).lateShare()).isGreaterThan(0.28);
+	void manyRequestsAreLateWithASingleHome() {
+		assertThat(simulate(WITHOUT_SECONDARY_HOME).lateShare()).isGreaterThan(0.28);
 	}
 
-	private long readTokens() {
-		return this.engines.values().stream().mapToLong((engine) -> engine.readTokens).sum();
+	private long prefillTokens() {
+		return this.engines.values().stream().mapToLong((engine) -> engine.prefillTokens).sum();
 	}
 
 	/** Reads prompts one after the other and keeps the parts that were used last. */
@@ -167,34 +168,35 @@
 
 		private long freeAt;
 
-		private long readTokens;
+		private long prefillTokens;
 
-		long read(long thing, PromptShape shape, long at) {
-			boolean held = this.parts.put(thing, SHARED) != null;
-			if (this.parts.size() * SHARED > MEMORY_FOR_PARTS) {
+		long prefill(long topic, PromptShape shape, long at) {
+			boolean cached = this.parts.put(topic, SHARED_TOKENS) != null;
+			if (this.parts.size() * SHARED_TOKENS > CACHE_FOR_PARTS) {
 				this.parts.remove(this.parts.keySet().iterator().next());
 			}
-			long work = shape.work((held) ? SHARED : 0);
-			this.readTokens += work;
+			long work = shape.work((cached) ? SHARED_TOKENS : 0);
+			this.prefillTokens += work;
 			this.freeAt = Math.max(at, this.freeAt) + (long) (work / TOKENS_PER_MILLI * MILLI);
 			return this.freeAt;
 		}
 
 	}
 
-	private record Outcomes(int asked, int late, long readTokens) {
+	private record Totals(int requests, int late, long prefillTokens) {
 
 		double lateShare() {
-			return (double) this.late / this.asked;
+			return (double) this.late / this.requests;
 		}
 
-		Outcomes plus(Outcomes other) {
-			return new Outcomes(this.asked + other.asked, this.late + other.late, this.readTokens + other.readTokens);
+		Totals plus(Totals other) {
+			return new Totals(this.requests + other.requests, this.late + other.late,
+					this.prefillTokens + other.prefillTokens);
 		}
 
 	}
 
-	private record Reading(PlacedRequest placed, long sentAt, long readAt) {
+	private record Prefill(PlacedRequest placed, long sentAt, long doneAt) {
 	}
 
 }
--- a/core/src/test/java/org/acaciacourse/core/balance/HomesTests.java
+++ b/core/src/test/java/org/acaciacourse/core/balance/HomesTests.java
@@ -16,27 +16,27 @@
 
 	private static final int ENGINES = 13;
 
-	private String first;
+	private String primary;
 
 	@BeforeEach
-	void findFirst() {
+	void findPrimary() {
 		this.balancer.endpoints(endpoints(ENGINES));
-		this.first = choose(prompt(1), 1, Set.of(), 0).get();
+		this.primary = choose(prompt(1), 1, Set.of(), 0).get();
 	}
 
-	private void queueAtFirst(long tokens) {
-		begin(this.first, new PromptShape(tokens, 1, List.of()));
+	private void queueAtPrimary(long tokens) {
+		begin(this.primary, new PromptShape(tokens, 1, List.of()));
 	}
 
-	private void readAtFirst() {
-		begin(this.first, prompt(1)).end(Outcome.GOOD, 0);
+	private void prefillAtPrimary() {
+		begin(this.primary, prompt(1)).end(Outcome.GOOD, 0);
 	}
 
 	@Test
-	void thereIsNoSecondHomeWhileThatIsOff() {
+	void thereIsNoSecondaryHomeWhenSwitchedOff() {
 		HomesTests.this.balancer.policy(new RoutingPolicy("one-home", Set.of(RoutingMechanism.SECOND_HOME), Map.of()));
-		queueAtFirst(20_000);
-		assertThat(choose(prompt(1), 1, Set.of(), 0)).isEqualTo(Optional.of(this.first));
+		queueAtPrimary(20_000);
+		assertThat(choose(prompt(1), 1, Set.of(), 0)).isEqualTo(Optional.of(this.primary));
 	}
 
 	@Nested
@@ -48,42 +48,42 @@
 		 * entries.
 		 */
 		@Test
-		void isReadAtOneOtherEndpointByAllEntries() {
-			queueAtFirst(20_000);
+		void isPrefilledAtTheSameSecondaryByAllEntryVms() {
+			queueAtPrimary(20_000);
 			String second = choose(prompt(1), 1, Set.of(), 0).get();
-			assertThat(second).isNotEqualTo(HomesTests.this.first);
+			assertThat(second).isNotEqualTo(HomesTests.this.primary);
 			PoolBalancer other = new PoolBalancer(new PeerLoads(), (instance) -> true);
 			other.endpoints(endpoints(ENGINES));
-			begin(other, HomesTests.this.first, new PromptShape(40_000, 1, List.of()));
+			begin(other, HomesTests.this.primary, new PromptShape(40_000, 1, List.of()));
 			for (int salt = 0; salt < 20; salt++) {
-				Placement asked = new Placement(prompt(1), true, false, salt, Set.of());
-				assertThat(other.choose(asked, 0).map(FleetEndpoint::instance)).isEqualTo(Optional.of(second));
+				Placement request = new Placement(prompt(1), true, false, salt, Set.of());
+				assertThat(other.choose(request, 0).map(FleetEndpoint::instance)).isEqualTo(Optional.of(second));
 			}
 		}
 
 		@Test
-		void staysForAShortQueue() {
-			queueAtFirst(3_000);
-			assertThat(choose(prompt(1), 1, Set.of(), 0)).isEqualTo(Optional.of(HomesTests.this.first));
+		void staysAtThePrimaryWhenItsQueueIsShort() {
+			queueAtPrimary(3_000);
+			assertThat(choose(prompt(1), 1, Set.of(), 0)).isEqualTo(Optional.of(HomesTests.this.primary));
 		}
 
 	}
 
 	@Nested
-	class HeldPart {
+	class CachedPart {
 
 		@Test
-		void staysForAQueueThatIsShorterThanReadingItAgain() {
-			readAtFirst();
-			queueAtFirst(30_000);
-			assertThat(choose(prompt(1), 1, Set.of(), 0)).isEqualTo(Optional.of(HomesTests.this.first));
+		void staysAtThePrimaryWhenItsQueueCostsLessThanRecomputing() {
+			prefillAtPrimary();
+			queueAtPrimary(30_000);
+			assertThat(choose(prompt(1), 1, Set.of(), 0)).isEqualTo(Optional.of(HomesTests.this.primary));
 		}
 
 		@Test
-		void isReadOnceMoreForALongQueue() {
-			readAtFirst();
-			queueAtFirst(60_000);
-			assertThat(choose(prompt(1), 1, Set.of(), 0)).isNotEqualTo(Optional.of(HomesTests.this.first));
+		void isPrefilledAgainWhenThePrimaryQueueIsLong() {
+			prefillAtPrimary();
+			queueAtPrimary(60_000);
+			assertThat(choose(prompt(1), 1, Set.of(), 0)).isNotEqualTo(Optional.of(HomesTests.this.primary));
 		}
 
 		/*
@@ -91,9 +91,9 @@
 		 * others, which are then read again while all queues grow.
 		 */
 		@Test
-		void isNotReadAtAThirdEndpoint() {
-			readAtFirst();
-			queueAtFirst(60_000);
+		void isNotPrefilledAtAThirdEndpoint() {
+			prefillAtPrimary();
+			queueAtPrimary(60_000);
 			String second = choose(prompt(1), 1, Set.of(), 0).get();
 			begin(second, prompt(1)).end(Outcome.GOOD, 0);
 			begin(second, new PromptShape(30_000, 1, List.of()));
--- a/core/src/test/java/org/acaciacourse/core/balance/IdleLimitTests.java
+++ b/core/src/test/java/org/acaciacourse/core/balance/IdleLimitTests.java
@@ -14,12 +14,12 @@
 	private final IdleLimit limit = new IdleLimit();
 
 	@Test
-	void nothingIsLimitedAtFirst() {
+	void thereIsNoLimitAtFirst() {
 		assertThat(this.limit.limit(0)).isEqualTo(Long.MAX_VALUE);
 	}
 
 	@Test
-	void twoLossesAfterARestLimitTheRest() {
+	void twoLossesAfterIdlePeriodsSetTheLimit() {
 		this.limit.lost(400 * MILLI, 3 * MILLI, 0);
 		this.limit.lost(600 * MILLI, 3 * MILLI, 1_000 * MILLI);
 		assertThat(this.limit.limit(1_001 * MILLI)).isEqualTo(200 * MILLI);
@@ -28,14 +28,14 @@
 	// Endpoints that lose two or three answers in a hundred reset connections too. Were
 	// that a lesson, each of them would cost new connections for seconds.
 	@Test
-	void singleLossIsNoLesson() {
+	void singleLossSetsNoLimit() {
 		this.limit.lost(400 * MILLI, 3 * MILLI, 0);
 		this.limit.lost(400 * MILLI, 3 * MILLI, 5_000 * MILLI);
 		assertThat(this.limit.limit(5_001 * MILLI)).isEqualTo(Long.MAX_VALUE);
 	}
 
 	@Test
-	void shorterRestThatWasLostLimitsFurther() {
+	void lossAfterAShorterIdlePeriodLowersTheLimit() {
 		this.limit.lost(900 * MILLI, 3 * MILLI, 0);
 		this.limit.lost(800 * MILLI, 3 * MILLI, MILLI);
 		this.limit.lost(320 * MILLI, 3 * MILLI, 2 * MILLI);
@@ -43,21 +43,21 @@
 	}
 
 	@Test
-	void lossWhileTheRequestRunsIsNoLesson() {
+	void lossDuringProcessingSetsNoLimit() {
 		this.limit.lost(400 * MILLI, 600 * MILLI, 0);
 		this.limit.lost(400 * MILLI, 600 * MILLI, MILLI);
 		assertThat(this.limit.limit(2 * MILLI)).isEqualTo(Long.MAX_VALUE);
 	}
 
 	@Test
-	void lossOfABusyConnectionIsNoLesson() {
+	void lossOfABusyConnectionSetsNoLimit() {
 		this.limit.lost(5 * MILLI, 3 * MILLI, 0);
 		this.limit.lost(5 * MILLI, 3 * MILLI, MILLI);
 		assertThat(this.limit.limit(2 * MILLI)).isEqualTo(Long.MAX_VALUE);
 	}
 
 	@Test
-	void lessonFades() {
+	void limitExpires() {
 		this.limit.lost(400 * MILLI, 3 * MILLI, 0);
 		this.limit.lost(400 * MILLI, 3 * MILLI, MILLI);
 		assertThat(this.limit.limit(11_000 * MILLI)).isEqualTo(Long.MAX_VALUE);
--- a/core/src/test/java/org/acaciacourse/core/balance/LoadExchangeTests.java
+++ b/core/src/test/java/org/acaciacourse/core/balance/LoadExchangeTests.java
@@ -24,13 +24,13 @@
 
 	private static final int DATA_CENTRES = 5;
 
-	private static final int MOST_DIRECT = 20;
+	private static final int MAX_DIRECT_PEERS = 20;
 
 	/** Longer than a report, a summary and a view take one after the other. */
 	private static final long SETTLED_MILLIS = 1_000;
 
 	/** From the failure of a relay until its group is served by the next one. */
-	private static final long FAILED_OVER_MILLIS = 2_500;
+	private static final long FAILOVER_MILLIS = 2_500;
 
 	private static List<PeerLoads.Load> loads(Random random) {
 		return random.ints(4, 0, ENDPOINTS)
@@ -54,7 +54,7 @@
 
 		private final Map<String, Vm> byAddress = new HashMap<>();
 
-		private final PriorityQueue<Packet> onTheWay = new PriorityQueue<>(
+		private final PriorityQueue<Packet> inTransit = new PriorityQueue<>(
 				(a, b) -> Long.compare(a.arrivesAt(), b.arrivesAt()));
 
 		private long now = 5_000 * MILLI;
@@ -64,10 +64,10 @@
 			this.loss = loss;
 			IntStream.range(0, count).forEach((i) -> this.vms.add(new Vm(i, this.now)));
 			this.vms.forEach((vm) -> this.byAddress.put(vm.self.address(), vm));
-			tellPeers();
+			updatePeers();
 		}
 
-		private void tellPeers() {
+		private void updatePeers() {
 			List<LoadPeer> live = this.vms.stream().filter((vm) -> !vm.down).map((vm) -> vm.self).toList();
 			this.vms.forEach((vm) -> vm.exchange.peers(live));
 		}
@@ -91,17 +91,17 @@
 			int copies = (this.random.nextDouble() < this.loss) ? this.random.nextInt(3) : 1;
 			for (int i = 0; i < copies; i++) {
 				long delay = (copies > 1) ? this.random.nextInt(400) : 1 + this.random.nextInt(3);
-				this.onTheWay.add(new Packet(from, this.byAddress.get(to), digest, this.now + delay * MILLI));
+				this.inTransit.add(new Packet(from, this.byAddress.get(to), digest, this.now + delay * MILLI));
 			}
 		}
 
 		private void deliver() {
-			while (!this.onTheWay.isEmpty() && this.onTheWay.peek().arrivesAt() <= this.now) {
-				Packet packet = this.onTheWay.poll();
+			while (!this.inTransit.isEmpty() && this.inTransit.peek().arrivesAt() <= this.now) {
+				Packet packet = this.inTransit.poll();
 				if (!packet.to().down && !packet.to().deaf && !packet.to().frozen) {
 					packet.to().received++;
 					if (packet.to().exchange.take(packet.from().self.address(), packet.digest(), this.now)) {
-						packet.to().told.addAll(packet.digest().uses());
+						packet.to().receivedUses.addAll(packet.digest().uses());
 					}
 				}
 			}
@@ -161,7 +161,7 @@
 
 		private final LoadExchange exchange;
 
-		private final List<PartUse> told = new ArrayList<>();
+		private final List<PartUse> receivedUses = new ArrayList<>();
 
 		private List<PeerLoads.Load> own = List.of();
 
@@ -182,7 +182,7 @@
 		Vm(int index, long now) {
 			this.self = new LoadPeer("10.0." + index / 250 + "." + index % 250 + ":1", "dc-" + index % DATA_CENTRES);
 			this.exchange = new LoadExchange(this.self, this.loads, now, now);
-			this.exchange.mostDirect(MOST_DIRECT);
+			this.exchange.mostDirect(MAX_DIRECT_PEERS);
 			this.nextTick = now + index % 100 * MILLI;
 		}
 
@@ -198,10 +198,10 @@
 	}
 
 	@Nested
-	class AllIsKnown {
+	class Convergence {
 
 		@Test
-		void soonAfterAChangeWhateverTheNumberOfVms() {
+		void isReachedSoonAfterAChangeForAnyNumberOfVms() {
 			for (int count : new int[] { 2, 9, 21, 22, 40, 95, 380 }) {
 				Network network = new Network(count, 0, 7);
 				network.changeLoads();
@@ -214,7 +214,7 @@
 		}
 
 		@Test
-		void alsoWhereDatagramsAreLostLateAndDoubled() {
+		void isReachedWithLostLateAndDuplicateDatagrams() {
 			for (long seed = 1; seed <= 20; seed++) {
 				Network network = new Network(95, 0.05, seed);
 				for (int i = 0; i < 10; i++) {
@@ -231,13 +231,13 @@
 		 * one another then while others report to relays already.
 		 */
 		@Test
-		void alsoWhereTheNumberOfVmsPassesThatOfRelays() {
+		void isReachedWhenTheNumberOfVmsCrossesTheRelayThreshold() {
 			Network network = new Network(26, 0, 7);
 			network.changeLoads();
 			network.run(SETTLED_MILLIS);
 			for (boolean down : new boolean[] { true, false, true, false }) {
 				network.vms.stream().skip(18).forEach((vm) -> vm.down = down);
-				network.tellPeers();
+				network.updatePeers();
 				network.changeLoads();
 				network.run(2 * SETTLED_MILLIS);
 				network.assertAllKnown();
@@ -256,7 +256,7 @@
 				PartUse use = new PartUse(5, new PromptShape.Part(77, 13_000));
 				network.vms.get(count - 1).uses = List.of(use);
 				network.run(SETTLED_MILLIS);
-				network.vms.stream().limit(count - 1).forEach((vm) -> assertThat(vm.told).contains(use));
+				network.vms.stream().limit(count - 1).forEach((vm) -> assertThat(vm.receivedUses).contains(use));
 			}
 		}
 
@@ -304,10 +304,10 @@
 
 		// It loses its power: the platform's control notices that after ten seconds.
 		@Test
-		void nextOneServesTheGroupOfOneThatIsLost() {
+		void nextRelayTakesOverFromALostOne() {
 			Network network = settled();
 			network.relays().forEach((relay) -> relay.down = true);
-			network.run(FAILED_OVER_MILLIS);
+			network.run(FAILOVER_MILLIS);
 			network.changeLoads();
 			network.run(SETTLED_MILLIS);
 			network.assertAllKnown();
@@ -318,34 +318,34 @@
 		 * still tells must not stand in the way of the next one.
 		 */
 		@Test
-		void nextOneServesTheGroupOfOneThatHearsNothing() {
+		void nextRelayTakesOverFromOneThatReceivesNothing() {
 			Network network = settled();
 			List<Vm> relays = network.relays();
 			relays.forEach((relay) -> relay.deaf = true);
-			network.run(FAILED_OVER_MILLIS);
+			network.run(FAILOVER_MILLIS);
 			relays.forEach((relay) -> relay.down = true);
-			network.run(FAILED_OVER_MILLIS);
+			network.run(FAILOVER_MILLIS);
 			network.changeLoads();
 			network.run(SETTLED_MILLIS);
 			network.assertAllKnown();
 		}
 
 		@Test
-		void frozenOneThatWakesDoesNoHarm() {
+		void resumedRelayDoesNoHarm() {
 			Network network = settled();
 			List<Vm> relays = network.relays();
 			relays.forEach((relay) -> relay.frozen = true);
 			network.run(4_000);
 			network.changeLoads();
 			relays.forEach((relay) -> relay.frozen = false);
-			network.run(FAILED_OVER_MILLIS);
+			network.run(FAILOVER_MILLIS);
 			network.assertAllKnown();
 		}
 
 	}
 
 	@Nested
-	class BadInput {
+	class RejectedInput {
 
 		private final PeerLoads loads = new PeerLoads();
 
--- a/core/src/test/java/org/acaciacourse/core/balance/MixedPlacementTests.java
+++ b/core/src/test/java/org/acaciacourse/core/balance/MixedPlacementTests.java
@@ -20,7 +20,7 @@
 	@Nested
 	class Brief {
 
-		private List<PlacedRequest> eightBrief(String instance) {
+		private List<PlacedRequest> beginEightBrief(String instance) {
 			return IntStream.range(0, 8).mapToObj((i) -> beginBrief(instance)).toList();
 		}
 
@@ -28,7 +28,7 @@
 		// events come too late then. The two kinds go to endpoints of their own, which
 		// all entries agree on.
 		@Test
-		void briefRequestsAndLongPromptsAreKeptApart() {
+		void briefRequestsAndLongPromptsGetSeparateEndpoints() {
 			MixedPlacementTests.this.balancer.endpoints(endpoints(12));
 			Set<String> brief = new HashSet<>();
 			Set<String> others = new HashSet<>();
@@ -48,10 +48,10 @@
 		 * each of them misses its gap for one prompt that would wait a little elsewhere.
 		 */
 		@Test
-		void longPromptKeepsAwayFromBriefAnswers() {
+		void longPromptAvoidsRunningBriefAnswers() {
 			MixedPlacementTests.this.balancer.endpoints(endpoints(6));
 			String home = choose(prompt(1), 1, Set.of(), 0).get();
-			List<PlacedRequest> brief = eightBrief(home);
+			List<PlacedRequest> brief = beginEightBrief(home);
 			assertThat(choose(prompt(1), 1, Set.of(), 0)).isNotEqualTo(Optional.of(home));
 			brief.forEach((request) -> request.end(Outcome.GOOD, 0));
 			assertThat(choose(prompt(1), 1, Set.of(), 0)).isEqualTo(Optional.of(home));
@@ -86,16 +86,16 @@
 		 * no harm.
 		 */
 		@Test
-		void whatDoesNoHarmFollowsFromTheGapThatIsAimedFor() {
+		void harmlessWorkFollowsFromTheTargetGap() {
 			MixedPlacementTests.this.balancer.endpoints(endpoints(6));
 			MixedPlacementTests.this.balancer.shortestGap(2_000);
 			String home = choose(prompt(1), 1, Set.of(), 0).get();
-			eightBrief(home);
+			beginEightBrief(home);
 			assertThat(choose(prompt(1), 1, Set.of(), 0)).isEqualTo(Optional.of(home));
 		}
 
 		@Test
-		void eachKindGoesToTheOthersEndpointsWhenItsOwnAreGone() {
+		void briefRequestsUseOtherEndpointsWhenTheirOwnAreLost() {
 			MixedPlacementTests.this.balancer.endpoints(endpoints(4));
 			PromptShape small = new PromptShape(1_000, 1, List.of());
 			String own = chooseBrief(small, 1).get();
@@ -113,7 +113,7 @@
 		private static final long TARGET = 1_500_000_000L;
 
 		@Test
-		void requestIsLateOnceWhatWaitsTakesLongerThanItsTarget() {
+		void requestIsLateOnceQueuedWorkExceedsItsTarget() {
 			MixedPlacementTests.this.balancer.endpoints(endpoints(1));
 			assertThat(MixedPlacementTests.this.balancer.isLate("i0", prompt(1), TARGET)).isFalse();
 			begin("i0", new PromptShape(40_000, 1, List.of()));
@@ -126,7 +126,7 @@
 		 * pace of reading: no long prompt would be late by it, until all are.
 		 */
 		@Test
-		void whatGoesBeforeOthersTellsNothingOfThePace() {
+		void overtakingRequestsDoNotAffectThePrefillRate() {
 			MixedPlacementTests.this.balancer.endpoints(endpoints(1));
 			begin("i0", new PromptShape(60_000, 1, List.of()));
 			for (int i = 0; i < 100; i++) {
--- a/core/src/test/java/org/acaciacourse/core/balance/PoolBalancerTests.java
+++ b/core/src/test/java/org/acaciacourse/core/balance/PoolBalancerTests.java
@@ -18,7 +18,7 @@
 	class Affinity {
 
 		@Test
-		void requestsThatShareAPromptGoToOneEndpointAtEveryEntry() {
+		void allEntryVmsChooseTheSameEndpointForASharedPrompt() {
 			PoolBalancer other = new PoolBalancer(new PeerLoads(), (instance) -> true);
 			other.endpoints(endpoints(13));
 			PoolBalancerTests.this.balancer.endpoints(endpoints(13));
@@ -42,7 +42,7 @@
 		}
 
 		@Test
-		void anotherEndpointIsTakenOnceTheQueueCostsMoreThanReadingAnew() {
+		void anotherEndpointIsTakenOnceTheQueueCostsMoreThanRecomputing() {
 			PoolBalancerTests.this.balancer.endpoints(endpoints(3));
 			String home = choose(prompt(1), 1, Set.of(), 0).get();
 			begin(home, new PromptShape(60_000, 1, List.of()));
@@ -62,7 +62,7 @@
 		}
 
 		@Test
-		void partsAreNotReadElsewhereForASomewhatShorterQueue() {
+		void partsAreNotPrefilledElsewhereForASlightlyShorterQueue() {
 			PoolBalancerTests.this.balancer.endpoints(endpoints(3));
 			String home = choose(prompt(1), 1, Set.of(), 0).get();
 			begin(home, prompt(1));
@@ -72,7 +72,7 @@
 		}
 
 		@Test
-		void idleEndpointTakesThemAtOnce() {
+		void idleEndpointTakesThemImmediately() {
 			PoolBalancerTests.this.balancer.endpoints(endpoints(3));
 			String home = choose(prompt(1), 1, Set.of(), 0).get();
 			queue(home, 60_000);
@@ -84,11 +84,11 @@
 	// One entry sends a prompt past its usual engine, whose queue is long. If it tells
 	// nobody, each other entry has a third and a fourth engine read the same part.
 	@Nested
-	class ToldByOthers {
+	class PeerUses {
 
 		private final PoolBalancer other = new PoolBalancer(new PeerLoads(), (instance) -> true);
 
-		private String spill() {
+		private String placeOnSecondEndpoint() {
 			PoolBalancerTests.this.balancer.endpoints(endpoints(13));
 			this.other.endpoints(endpoints(13));
 			String home = choose(prompt(1), 1, Set.of(), 0).get();
@@ -97,31 +97,31 @@
 			return second;
 		}
 
-		private Optional<String> chooseThere(long salt) {
+		private Optional<String> chooseAtOther(long salt) {
 			return this.other.choose(new Placement(prompt(1), true, false, salt, Set.of()), 0)
 				.map(FleetEndpoint::instance);
 		}
 
 		@Test
-		void partThatAnotherEntryHadReadIsUsedThere() {
-			String second = spill();
+		void partCachedThroughAnotherEntryVmIsUsed() {
+			String second = placeOnSecondEndpoint();
 			PoolBalancerTests.this.balancer.takeUntold().forEach(this.other::told);
-			assertThat(chooseThere(5)).isEqualTo(Optional.of(second));
+			assertThat(chooseAtOther(5)).isEqualTo(Optional.of(second));
 			assertThat(PoolBalancerTests.this.balancer.takeUntold()).isEmpty();
 		}
 
 		@Test
-		void homeIsReadAnewOnceTheHolderIsBusy() {
-			String second = spill();
+		void partIsPrefilledAtItsHomeOnceTheHolderIsBusy() {
+			String second = placeOnSecondEndpoint();
 			PoolBalancerTests.this.balancer.takeUntold().forEach(this.other::told);
 			begin(this.other, second, new PromptShape(30_000, 1, List.of()));
-			assertThat(chooseThere(5)).isNotEqualTo(Optional.of(second));
-			assertThat(chooseThere(6)).isEqualTo(chooseThere(5));
+			assertThat(chooseAtOther(5)).isNotEqualTo(Optional.of(second));
+			assertThat(chooseAtOther(6)).isEqualTo(chooseAtOther(5));
 		}
 
 		@Test
-		void engineThatRefusesConnectionsHoldsNothingLater() {
-			String second = spill();
+		void engineThatRefusedConnectionsIsAssumedEmpty() {
+			String second = placeOnSecondEndpoint();
 			PoolBalancerTests.this.balancer.takeUntold().forEach(this.other::told);
 			begin(this.other, second, PromptShape.NONE).end(Outcome.GONE, 0);
 			assertThat(this.other.choose(new Placement(prompt(1), true, false, 5, Set.of()), 10 * SECOND)
@@ -129,7 +129,7 @@
 		}
 
 		@Test
-		void usesThatNobodyTakesAreBounded() {
+		void unreportedUsesAreBounded() {
 			PoolBalancerTests.this.balancer.endpoints(endpoints(3));
 			for (long id = 1; id <= 1_000; id++) {
 				begin("i0", prompt(id));
@@ -150,7 +150,7 @@
 		}
 
 		@Test
-		void waitingIsInVainOnceAllHadTheirTurn() {
+		void poolIsExhaustedOnceAllEndpointsWereTried() {
 			PoolBalancer pool = PoolBalancerTests.this.balancer;
 			assertThat(pool.isExhausted(Set.of("a"))).isFalse();
 			pool.endpoints(List.of(endpoint("a", true), endpoint("b", false), endpoint("c", false)));
@@ -167,7 +167,7 @@
 		}
 
 		@Test
-		void failingEndpointIsTakenWhenNothingElseIsLeft() {
+		void failingEndpointIsTakenOnlyAsALastResort() {
 			PoolBalancerTests.this.balancer.endpoints(endpoints(2));
 			for (int i = 0; i < 5; i++) {
 				begin("i0", PromptShape.NONE).end(Outcome.FAILED, SECOND);
@@ -188,7 +188,7 @@
 
 		private static final long MILLI = 1_000_000L;
 
-		private PlacedRequest beside;
+		private PlacedRequest other;
 
 		private String chosen(long now) {
 			return choose(PromptShape.NONE, 1, Set.of(), now).get();
@@ -199,12 +199,12 @@
 			PlacedRequest stream = begin(instance, PromptShape.NONE);
 			stream.streamBegan(1);
 			stream.heard(0);
-			this.beside = begin((instance.equals("i0")) ? "i1" : "i0", PromptShape.NONE);
+			this.other = begin((instance.equals("i0")) ? "i1" : "i0", PromptShape.NONE);
 			return stream;
 		}
 
 		@Test
-		void endpointWhoseAnswersStoppedIsAvoided() {
+		void endpointWhoseStreamsStalledIsAvoided() {
 			PoolBalancerTests.this.balancer.endpoints(endpoints(2));
 			String first = chosen(0);
 			PlacedRequest stream = streamAt(first);
@@ -215,11 +215,11 @@
 		}
 
 		@Test
-		void endpointThatOwesNothingIsNotSuspected() {
+		void endpointWithoutStreamsIsNotSuspected() {
 			PoolBalancerTests.this.balancer.endpoints(endpoints(2));
 			String first = chosen(0);
 			streamAt(first).end(Outcome.UNKNOWN, 0);
-			this.beside.end(Outcome.UNKNOWN, 0);
+			this.other.end(Outcome.UNKNOWN, 0);
 			assertThat(chosen(500 * MILLI)).isEqualTo(first);
 		}
 
@@ -230,21 +230,21 @@
 
 		@Test
 		void amongEqualEndpointsTheConnectedOneIsTaken() {
-			PoolBalancer sparing = new PoolBalancer(new PeerLoads(), "i7"::equals);
-			sparing.endpoints(endpoints(13));
+			PoolBalancer connectionAware = new PoolBalancer(new PeerLoads(), "i7"::equals);
+			connectionAware.endpoints(endpoints(13));
 			for (long salt = 0; salt < 20; salt++) {
-				Placement asked = new Placement(PromptShape.NONE, false, false, salt, Set.of());
-				assertThat(sparing.choose(asked, 0).get().instance()).isEqualTo("i7");
+				Placement request = new Placement(PromptShape.NONE, false, false, salt, Set.of());
+				assertThat(connectionAware.choose(request, 0).get().instance()).isEqualTo("i7");
 			}
 		}
 
 		@Test
 		void busyEndpointIsNotTakenForItsConnection() {
-			PoolBalancer sparing = new PoolBalancer(new PeerLoads(), "i7"::equals);
-			sparing.endpoints(endpoints(13));
-			begin(sparing, "i7", PromptShape.NONE);
-			Placement asked = new Placement(PromptShape.NONE, false, false, 1, Set.of());
-			assertThat(sparing.choose(asked, 0).get().instance()).isNotEqualTo("i7");
+			PoolBalancer connectionAware = new PoolBalancer(new PeerLoads(), "i7"::equals);
+			connectionAware.endpoints(endpoints(13));
+			begin(connectionAware, "i7", PromptShape.NONE);
+			Placement request = new Placement(PromptShape.NONE, false, false, 1, Set.of());
+			assertThat(connectionAware.choose(request, 0).get().instance()).isNotEqualTo("i7");
 		}
 
 	}
@@ -255,22 +255,22 @@
 		// Six entries each see a sixth of a burst of long prompts. Each sends one of them
 		// to the same idle endpoint, and the short requests there wait for seconds.
 		@Test
-		void workOfOtherEntriesCounts() {
+		void workOfOtherEntryVmsCounts() {
 			PoolBalancerTests.this.balancer.endpoints(endpoints(2));
-			PoolBalancerTests.this.peers.take("b", 1, List.of(new PeerLoads.Load(PeerLoads.nameOf("i0"), 1, 50_000, 0)),
-					0);
+			PoolBalancerTests.this.peers.receive("b", 1,
+					List.of(new PeerLoads.Load(PeerLoads.idOf("i0"), 1, 50_000, 0)), 0);
 			for (long salt = 0; salt < 20; salt++) {
 				assertThat(choose(PromptShape.NONE, salt, Set.of(), 0)).isEqualTo(Optional.of("i1"));
 			}
 		}
 
 		@Test
-		void digestReplacesTheOneBeforeAndSilenceEndsIt() {
+		void digestReplacesThePreviousOneAndExpires() {
 			PoolBalancerTests.this.balancer.endpoints(endpoints(2));
-			PeerLoads.Load first = new PeerLoads.Load(PeerLoads.nameOf("i0"), 5, 0, 0);
-			PeerLoads.Load second = new PeerLoads.Load(PeerLoads.nameOf("i1"), 1, 0, 0);
-			PoolBalancerTests.this.peers.take("b", 2, List.of(second), 0);
-			PoolBalancerTests.this.peers.take("b", 1, List.of(first), 0);
+			PeerLoads.Load first = new PeerLoads.Load(PeerLoads.idOf("i0"), 5, 0, 0);
+			PeerLoads.Load second = new PeerLoads.Load(PeerLoads.idOf("i1"), 1, 0, 0);
+			PoolBalancerTests.this.peers.receive("b", 2, List.of(second), 0);
+			PoolBalancerTests.this.peers.receive("b", 1, List.of(first), 0);
 			assertThat(choose(PromptShape.NONE, 1, Set.of(), 0)).isEqualTo(Optional.of("i0"));
 			PoolBalancerTests.this.peers.forgetSilent(2 * SECOND);
 			assertThat(PoolBalancerTests.this.peers.isTold()).isFalse();
@@ -284,14 +284,14 @@
 	class Load {
 
 		@Test
-		void fewestRequestsWin() {
+		void endpointWithFewestRequestsIsTaken() {
 			PoolBalancerTests.this.balancer.endpoints(endpoints(2));
 			begin("i0", PromptShape.NONE);
 			assertThat(choose(PromptShape.NONE, 1, Set.of(), 0)).isEqualTo(Optional.of("i1"));
 		}
 
 		@Test
-		void requestsOfOtherEntriesCountAsFarAsTheyAreTold() {
+		void reportedRequestsOfOtherEntryVmsCount() {
 			PoolBalancerTests.this.balancer.endpoints(endpoints(2));
 			PlacedRequest reporting = begin("i1", PromptShape.NONE);
 			reporting.report(9, 2, 0);
--- a/core/src/test/java/org/acaciacourse/core/balance/PromptMemoryTests.java
+++ b/core/src/test/java/org/acaciacourse/core/balance/PromptMemoryTests.java
@@ -15,64 +15,64 @@
 
 	private static final PromptShape.Part OWN = new PromptShape.Part(3, 1_000);
 
-	private final PromptMemory memory = new PromptMemory();
+	private final PrefixCacheModel cache = new PrefixCacheModel();
 
 	private static PromptShape prompt(PromptShape.Part... parts) {
 		return new PromptShape(10_000, 100, List.of(parts));
 	}
 
 	@Test
-	void partsAreHeldFromTheFirstOneOn() {
-		this.memory.use(CASE);
-		assertThat(this.memory.held(prompt(TEMPLATE, CASE, OWN))).isEqualTo(0);
-		this.memory.use(TEMPLATE);
-		assertThat(this.memory.held(prompt(TEMPLATE, CASE, OWN))).isEqualTo(6_000);
-		assertThat(this.memory.held(prompt(TEMPLATE, OWN))).isEqualTo(2_000);
+	void onlyLeadingPartsAreCached() {
+		this.cache.recordUse(CASE);
+		assertThat(this.cache.cachedTokens(prompt(TEMPLATE, CASE, OWN))).isEqualTo(0);
+		this.cache.recordUse(TEMPLATE);
+		assertThat(this.cache.cachedTokens(prompt(TEMPLATE, CASE, OWN))).isEqualTo(6_000);
+		assertThat(this.cache.cachedTokens(prompt(TEMPLATE, OWN))).isEqualTo(2_000);
 	}
 
 	@Test
-	void ownPartOfARequestIsNotHeldForOthers() {
-		this.memory.use(OWN);
-		assertThat(this.memory.held(prompt(OWN))).isEqualTo(0);
+	void ownPartOfARequestIsNotCachedForOthers() {
+		this.cache.recordUse(OWN);
+		assertThat(this.cache.cachedTokens(prompt(OWN))).isEqualTo(0);
 	}
 
 	@Test
-	void leastRecentlyUsedPartMakesRoom() {
-		this.memory.engineTokens(20_000);
-		this.memory.use(TEMPLATE);
-		this.memory.use(CASE);
-		this.memory.use(TEMPLATE);
-		this.memory.use(new PromptShape.Part(9, 7_000));
-		assertThat(this.memory.held(prompt(TEMPLATE, OWN))).isEqualTo(2_000);
-		assertThat(this.memory.held(prompt(CASE, OWN))).isEqualTo(0);
+	void leastRecentlyUsedPartIsEvicted() {
+		this.cache.engineCacheTokens(20_000);
+		this.cache.recordUse(TEMPLATE);
+		this.cache.recordUse(CASE);
+		this.cache.recordUse(TEMPLATE);
+		this.cache.recordUse(new PromptShape.Part(9, 7_000));
+		assertThat(this.cache.cachedTokens(prompt(TEMPLATE, OWN))).isEqualTo(2_000);
+		assertThat(this.cache.cachedTokens(prompt(CASE, OWN))).isEqualTo(0);
 	}
 
 	@Test
-	void partLargerThanTheMemoryIsHeldAlone() {
-		this.memory.engineTokens(4_000);
-		this.memory.use(TEMPLATE);
-		this.memory.use(CASE);
-		assertThat(this.memory.held(prompt(CASE, OWN))).isEqualTo(4_000);
-		assertThat(this.memory.held(prompt(TEMPLATE, OWN))).isEqualTo(0);
+	void partLargerThanTheCacheIsKeptAlone() {
+		this.cache.engineCacheTokens(4_000);
+		this.cache.recordUse(TEMPLATE);
+		this.cache.recordUse(CASE);
+		assertThat(this.cache.cachedTokens(prompt(CASE, OWN))).isEqualTo(4_000);
+		assertThat(this.cache.cachedTokens(prompt(TEMPLATE, OWN))).isEqualTo(0);
 	}
 
 	// Without the bound the sum overflows, and nothing ever makes room again.
 	@Test
-	void sizesThatNoEngineHasSpoilNothing() {
-		this.memory.engineTokens(8_000);
-		this.memory.use(new PromptShape.Part(8, Long.MAX_VALUE));
+	void invalidPartSizesDoNotCorruptTheSum() {
+		this.cache.engineCacheTokens(8_000);
+		this.cache.recordUse(new PromptShape.Part(8, Long.MAX_VALUE));
 		assertThat(Try.of(() -> new PromptShape.Part(9, Long.MIN_VALUE)).isFailure()).isTrue();
-		this.memory.use(TEMPLATE);
-		this.memory.use(CASE);
-		assertThat(this.memory.held(prompt(CASE, OWN))).isEqualTo(4_000);
-		assertThat(this.memory.held(prompt(TEMPLATE, OWN))).isEqualTo(0);
+		this.cache.recordUse(TEMPLATE);
+		this.cache.recordUse(CASE);
+		assertThat(this.cache.cachedTokens(prompt(CASE, OWN))).isEqualTo(4_000);
+		assertThat(this.cache.cachedTokens(prompt(TEMPLATE, OWN))).isEqualTo(0);
 	}
 
 	@Test
-	void engineThatStartedAgainHoldsNothing() {
-		this.memory.use(TEMPLATE);
-		this.memory.forget();
-		assertThat(this.memory.held(prompt(TEMPLATE, OWN))).isEqualTo(0);
+	void restartedEngineHasAnEmptyCache() {
+		this.cache.recordUse(TEMPLATE);
+		this.cache.clear();
+		assertThat(this.cache.cachedTokens(prompt(TEMPLATE, OWN))).isEqualTo(0);
 	}
 
 }
--- a/core/src/test/java/org/acaciacourse/core/balance/ReadingPaceTests.java
+++ b/core/src/test/java/org/acaciacourse/core/balance/ReadingPaceTests.java
@@ -9,27 +9,27 @@
 
 	private static final long MILLI = 1_000_000L;
 
-	private final ReadingPace pace = new ReadingPace();
+	private final PrefillRate rate = new PrefillRate();
 
 	private long millis(long work) {
-		return this.pace.nanos(work) / MILLI;
+		return this.rate.estimateNanos(work) / MILLI;
 	}
 
-	private void read(int times, long ahead, long tookMillis) {
+	private void observe(int times, long workAhead, long elapsedMillis) {
 		for (int i = 0; i < times; i++) {
-			this.pace.read(ahead, tookMillis * MILLI);
+			this.rate.observe(workAhead, elapsedMillis * MILLI);
 		}
 	}
 
 	@Test
-	void usualPaceHoldsUntilSomethingIsSeen() {
+	void defaultRateHoldsWithoutObservations() {
 		assertThat(millis(45_000)).isEqualTo(1_000);
 	}
 
 	/* Engines of another kind read three times as fast as usual. */
 	@Test
-	void paceFollowsWhatRequestsWaited() {
-		read(200, 45_000, 500);
+	void rateFollowsObservedWaits() {
+		observe(200, 45_000, 500);
 		assertThat(millis(90_000)).isIn(Range.closed(990L, 1_010L));
 	}
 
@@ -39,8 +39,8 @@
 	 * prompts as if they could be in time which come half a second late.
 	 */
 	@Test
-	void tenWaitsTellMostOfAChange() {
-		read(10, 45_000, 1_500);
+	void tenWaitsShowMostOfAChange() {
+		observe(10, 45_000, 1_500);
 		assertThat(millis(30_000)).isIn(Range.closed(900L, 1_000L));
 	}
 
@@ -48,8 +48,8 @@
 	 * An idle engine answers after a step of its batch, which tells nothing of reading.
 	 */
 	@Test
-	void shortWaitsTellNothing() {
-		read(200, 2_000, 400);
+	void shortWaitsAreIgnored() {
+		observe(200, 2_000, 400);
 		assertThat(millis(45_000)).isEqualTo(1_000);
 	}
 
@@ -59,7 +59,7 @@
 	 */
 	@Test
 	void singleWaitMovesTheEstimateLittle() {
-		read(1, 20_000, 10_000);
+		observe(1, 20_000, 10_000);
 		assertThat(millis(45_000)).isLessThan(1_050L);
 	}
 
--- a/core/src/test/java/org/acaciacourse/core/balance/RetryAllowanceTests.java
+++ b/core/src/test/java/org/acaciacourse/core/balance/RetryAllowanceTests.java
@@ -18,7 +18,7 @@
 	// Whoever counts the arrivals sees the sum of all entries over any window; it must
 	// stay within the ratio and the minimum although no entry knows of the others.
 	@Test
-	void sumOfAllEntriesStaysWithinTheBudgetInAnyWindow() {
+	void sumOfAllEntryVmsStaysWithinTheBudgetInAnyWindow() {
 		int entries = 6;
 		Random random = new Random(17);
 		List<RetryAllowance> allowances = new ArrayList<>();
@@ -41,13 +41,13 @@
 		assertThat(retries.size()).isGreaterThan(100);
 		for (long retry : retries) {
 			long spent = retries.stream().filter((at) -> at <= retry && at > retry - 10 * SECOND).count();
-			long asked = requests.stream().filter((at) -> at <= retry && at > retry - 10 * SECOND).count();
-			assertThat((double) spent).isAtMost(0.2 * asked + 52);
+			long requested = requests.stream().filter((at) -> at <= retry && at > retry - 10 * SECOND).count();
+			assertThat((double) spent).isAtMost(0.2 * requested + 52);
 		}
 	}
 
 	@Test
-	void entryAloneHasTheWholeMinimum() {
+	void singleEntryVmHasTheWholeMinimum() {
 		RetryAllowance allowance = new RetryAllowance(-60 * SECOND, 10 * SECOND, 0, 10);
 		allowance.sharers(OptionalInt.of(1));
 		int spent = 0;
--- a/core/src/test/java/org/acaciacourse/core/balance/RetryFleet.java
+++ b/core/src/test/java/org/acaciacourse/core/balance/RetryFleet.java
@@ -24,14 +24,14 @@
 
 	static final long SECOND = 1000 * MILLI;
 
-	private static final long STEP = 20 * MILLI;
+	private static final long TICK = 20 * MILLI;
 
-	private static final long POLL = 900 * MILLI;
+	private static final long POLL_INTERVAL = 900 * MILLI;
 
 	/** Control counts an entry for so long after its last poll. */
-	private static final long SILENT = 10 * SECOND;
+	private static final long POLL_TIMEOUT = 10 * SECOND;
 
-	private static final int MOST_RETRIES = 5;
+	private static final int MAX_RETRIES = 5;
 
 	private final Rule rule;
 
@@ -41,7 +41,7 @@
 
 	private final Map<Integer, Long> polled = new HashMap<>();
 
-	private final RetryWindows seen;
+	private final RetryWindows windows;
 
 	private long now;
 
@@ -49,15 +49,15 @@
 
 	private double requestsPerSecond;
 
-	private double refused;
+	private double refusedShare;
 
 	private int preferred = -1;
 
-	private long sentAfter;
+	private long retryDelay;
 
 	RetryFleet(Rule rule, int vms, long seed) {
 		this.rule = rule;
-		this.seen = new RetryWindows(rule.window(), rule.ratio(), rule.minimum());
+		this.windows = new RetryWindows(rule.window(), rule.ratio(), rule.minimum());
 		this.random = new Random(seed);
 		for (int vm = 0; vm < vms; vm++) {
 			start(vm);
@@ -77,13 +77,13 @@
 	}
 
 	int retryCount() {
-		return this.seen.retryCount();
+		return this.windows.retryCount();
 	}
 
 	// The requests of all callers in a second, and the part of attempts that is refused.
 	void load(double perSecond, double refusedShare) {
 		this.requestsPerSecond = perSecond;
-		this.refused = refusedShare;
+		this.refusedShare = refusedShare;
 	}
 
 	// All callers use one VM as long as it serves; -1 spreads them.
@@ -92,8 +92,8 @@
 	}
 
 	// How long retries wait for an endpoint or a connection.
-	void sendAfter(long nanos) {
-		this.sentAfter = nanos;
+	void delayRetries(long nanos) {
+		this.retryDelay = nanos;
 	}
 
 	/** Start a process, in place of the one that the VM had. */
@@ -111,8 +111,8 @@
 	}
 
 	// The VM is cut off from control, and serves.
-	void cut(int vm, long nanos) {
-		this.entries.get(vm).cutUntil = this.now + nanos;
+	void disconnect(int vm, long nanos) {
+		this.entries.get(vm).disconnectedUntil = this.now + nanos;
 	}
 
 	// Control is down, then knows nothing of who polled before.
@@ -124,9 +124,9 @@
 	void run(long nanos) {
 		long end = this.now + nanos;
 		while (this.now < end) {
-			this.now += STEP;
+			this.now += TICK;
 			this.entries.values().forEach(Entry::step);
-			double expected = this.requestsPerSecond * STEP / SECOND;
+			double expected = this.requestsPerSecond * TICK / SECOND;
 			for (int i = (int) expected + ((this.random.nextDouble() < expected % 1) ? 1 : 0); i > 0; i--) {
 				request();
 			}
@@ -134,7 +134,7 @@
 	}
 
 	private void request() {
-		this.seen.request(this.now);
+		this.windows.request(this.now);
 		List<Entry> serving = this.entries.values().stream().filter((entry) -> !entry.isFrozen()).toList();
 		if (serving.isEmpty()) {
 			return;
@@ -148,7 +148,7 @@
 	 * @return what was counted in it
 	 */
 	Optional<String> excess() {
-		return this.seen.excess();
+		return this.windows.excess();
 	}
 
 	/**
@@ -178,7 +178,7 @@
 
 		private long frozenUntil;
 
-		private long cutUntil;
+		private long disconnectedUntil;
 
 		Entry(int vm) {
 			this.vm = vm;
@@ -199,8 +199,8 @@
 				send(at);
 			}
 			if (at >= this.pollAt) {
-				this.pollAt = at + POLL;
-				if (at >= this.cutUntil && RetryFleet.this.controlUp) {
+				this.pollAt = at + POLL_INTERVAL;
+				if (at >= this.disconnectedUntil && RetryFleet.this.controlUp) {
 					poll(at);
 				}
 				this.allowance.sharers(this.sharers.sharers(at));
@@ -209,19 +209,20 @@
 
 		private void poll(long at) {
 			RetryFleet.this.polled.put(this.vm, at);
-			RetryFleet.this.polled.values().removeIf((last) -> at - last > SILENT);
+			RetryFleet.this.polled.values().removeIf((last) -> at - last > POLL_TIMEOUT);
 			this.sharers.told(RetryFleet.this.polled.size(), at);
 		}
 
 		private void serve() {
 			long at = RetryFleet.this.now;
 			this.allowance.request(at);
-			for (int i = 0; i < MOST_RETRIES && RetryFleet.this.random.nextDouble() < RetryFleet.this.refused; i++) {
+			for (int i = 0; i < MAX_RETRIES
+					&& RetryFleet.this.random.nextDouble() < RetryFleet.this.refusedShare; i++) {
 				if (!this.allowance.reserve(at)) {
 					return;
 				}
-				if (RetryFleet.this.sentAfter > 0) {
-					this.waiting.addLast(at + RetryFleet.this.sentAfter);
+				if (RetryFleet.this.retryDelay > 0) {
+					this.waiting.addLast(at + RetryFleet.this.retryDelay);
 					return;
 				}
 				send(at);
@@ -230,7 +231,7 @@
 
 		private void send(long at) {
 			if (this.allowance.spend(at)) {
-				RetryFleet.this.seen.retry(at);
+				RetryFleet.this.windows.retry(at);
 			}
 		}
 
--- a/core/src/test/java/org/acaciacourse/core/balance/RoutingPolicyParserTests.java
+++ b/core/src/test/java/org/acaciacourse/core/balance/RoutingPolicyParserTests.java
@@ -36,7 +36,7 @@
 	}
 
 	@Test
-	void whatIsNotNamedKeepsItsDefault() {
+	void omittedKeysKeepTheirDefaults() {
 		RoutingPolicy policy = parse("name = trial", "pauses = off", "suspects = on", "anew-factor = 3.5").get();
 		assertThat(policy).isEqualTo(
 				new RoutingPolicy("trial", Set.of(RoutingMechanism.PAUSES), Map.of(RoutingParameter.ANEW_FACTOR, 3.5)));
@@ -47,7 +47,7 @@
 	}
 
 	@Test
-	void whatIsWrongIsToldTogetherWithLineKeyAndRange() {
+	void problemsAreReportedTogetherWithLineKeyAndRange() {
 		assertThat(problems("name = trial", "paces = off", "pauses = no", "anew-factor = 0.5", "calm-work = many"))
 			.containsExactly("line 5: [routing-policy] paces: no mechanism and no parameter",
 					"line 6: [routing-policy] pauses: expected on or off",
@@ -56,7 +56,7 @@
 	}
 
 	@Test
-	void numberThatIsNoneIsRefused() {
+	void nonFiniteNumberIsRejected() {
 		assertThat(problems("anew-factor = NaN")).hasSize(1);
 		assertThat(problems("anew-factor = Infinity")).hasSize(1);
 	}
@@ -64,7 +64,7 @@
 	// Parts travel in the digests: told while those are off they would seem to be in use
 	// and do nothing.
 	@Test
-	void mechanismWithoutTheOneThatItNeedsIsRefused() {
+	void mechanismWithoutItsDependencyIsRejected() {
 		assertThat(problems("load-digests = off"))
 			.containsExactly("line 3: [routing-policy] parts-told: needs load-digests, which is off");
 		assertThat(parse("load-digests = off", "parts-told = off").isRight()).isTrue();
@@ -74,9 +74,9 @@
 
 	@ParameterizedTest
 	@EnumSource(RoutingMechanism.class)
-	void eachMechanismCanBeSwitchedOffWithThoseThatNeedIt(RoutingMechanism mechanism) {
+	void eachMechanismCanBeSwitchedOffWithItsDependents(RoutingMechanism mechanism) {
 		String[] lines = Arrays.stream(RoutingMechanism.values())
-			.filter((other) -> other == mechanism || other.needs().filter(mechanism::equals).isPresent())
+			.filter((other) -> other == mechanism || other.dependency().filter(mechanism::equals).isPresent())
 			.map((other) -> other.label() + " = off")
 			.toArray(String[]::new);
 		assertThat(parse(lines).get().isOn(mechanism)).isFalse();
--- a/core/src/test/java/org/acaciacourse/core/balance/RoutingPolicyTests.java
+++ b/core/src/test/java/org/acaciacourse/core/balance/RoutingPolicyTests.java
@@ -45,7 +45,7 @@
 	}
 
 	@Test
-	void partsAreToldOnlyWhileThatIsOn() {
+	void partUsesAreReportedOnlyWhileThatIsOn() {
 		this.balancer.endpoints(endpoints(2));
 		policy(RoutingMechanism.PARTS_TOLD);
 		begin("i0", prompt(1));
@@ -56,7 +56,7 @@
 	}
 
 	@Test
-	void poolIsDividedOnlyWhileThereAreEnginesForBriefRequests() {
+	void poolIsDividedOnlyWhileBriefEnginesAreOn() {
 		this.balancer.endpoints(endpoints(8));
 		assertThat(this.balancer.division().isPresent()).isTrue();
 		policy(RoutingMechanism.BRIEF_ENGINES, RoutingMechanism.BRIEF_ENGINES_FOLLOW_LOAD,
@@ -91,7 +91,7 @@
 	}
 
 	@Test
-	void partIsReadElsewhereForAQueueOnceThatHasNoPrice() {
+	void partIsPrefilledElsewhereOnceRecomputingHasNoPrice() {
 		this.balancer.endpoints(endpoints(3));
 		String home = choose(prompt(1), 1, Set.of(), 0).get();
 		begin(home, prompt(1)).end(Outcome.GOOD, 0);
@@ -103,11 +103,11 @@
 
 	@Test
 	void connectionsDecideAmongEqualsOnlyWhileTheyHaveAPrice() {
-		PoolBalancer sparing = new PoolBalancer(this.peers, "i7"::equals);
-		sparing.endpoints(endpoints(13));
-		assertThat(chosenBy(sparing)).containsExactly("i7");
-		sparing.policy(new RoutingPolicy("p", Set.of(RoutingMechanism.PRICE_OF_CONNECTIONS), Map.of()));
-		assertThat(chosenBy(sparing).size()).isGreaterThan(1);
+		PoolBalancer connectionAware = new PoolBalancer(this.peers, "i7"::equals);
+		connectionAware.endpoints(endpoints(13));
+		assertThat(chosenBy(connectionAware)).containsExactly("i7");
+		connectionAware.policy(new RoutingPolicy("p", Set.of(RoutingMechanism.PRICE_OF_CONNECTIONS), Map.of()));
+		assertThat(chosenBy(connectionAware).size()).isGreaterThan(1);
 	}
 
 	private static Set<String> chosenBy(PoolBalancer balancer) {
@@ -118,7 +118,7 @@
 	}
 
 	@Test
-	void endpointWhoseAnswersStoppedIsAvoidedOnlyWhileSuspectsAre() {
+	void endpointWhoseStreamsStalledIsAvoidedOnlyWhileSuspectsAre() {
 		this.balancer.endpoints(endpoints(2));
 		String first = choose(PromptShape.NONE, 1, Set.of(), 0).get();
 		PlacedRequest stream = begin(first, PromptShape.NONE);
@@ -131,7 +131,7 @@
 	}
 
 	@Test
-	void numberOfEnginesForBriefRequestsFollowsOnlyWhileThatIsOn() {
+	void numberOfReservedEnginesFollowsTheLoadOnlyWhileThatIsOn() {
 		this.balancer.endpoints(endpoints(8));
 		policy(RoutingMechanism.BRIEF_ENGINES_FOLLOW_LOAD);
 		IntStream.range(0, 60).forEach((i) -> beginBrief("i" + i % 8));
@@ -143,7 +143,7 @@
 	}
 
 	@Test
-	void longPromptGoesBesideBriefAnswersOnceTheirDelayHasNoPrice() {
+	void longPromptJoinsBriefAnswersOnceTheirDelayHasNoPrice() {
 		this.balancer.endpoints(endpoints(6));
 		String home = choose(prompt(1), 1, Set.of(), 0).get();
 		IntStream.range(0, 8).forEach((i) -> beginBrief(home));
@@ -153,7 +153,7 @@
 	}
 
 	@Test
-	void shortPromptsKeepAwayFromTheEnginesForBriefRequestsOnceThatIsOff() {
+	void shortPromptsAvoidReservedEnginesOnceThatIsOff() {
 		this.balancer.endpoints(endpoints(6));
 		PromptShape small = new PromptShape(2_000, 1, List.of());
 		Set<String> forBrief = LongStream.range(1, 30)
@@ -171,7 +171,7 @@
 	// The least share is none at all; a pool that is divided needs an engine for each
 	// kind.
 	@Test
-	void dividedPoolHasAnEngineForBriefRequestsWhateverItsFirstShare() {
+	void dividedPoolHasAReservedEngineWithAFirstShareOfZero() {
 		this.balancer.endpoints(endpoints(8));
 		this.balancer.policy(new RoutingPolicy("p", Set.of(), Map.of(RoutingParameter.FIRST_BRIEF_SHARE, 0.0)));
 		assertThat(this.balancer.division().get().engines()).isEqualTo(1);
--- a/core/src/test/java/org/acaciacourse/core/balance/SharedRetryBudgetTests.java
+++ b/core/src/test/java/org/acaciacourse/core/balance/SharedRetryBudgetTests.java
@@ -19,14 +19,14 @@
 
 	private static final int VMS = 6;
 
-	private static RetryFleet served(RetryFleet.Rule rule, int vms, long seed) {
+	private static RetryFleet warmedUp(RetryFleet.Rule rule, int vms, long seed) {
 		RetryFleet fleet = new RetryFleet(rule, vms, seed);
 		fleet.load(60, 0.02);
 		fleet.run(30 * SECOND);
 		return fleet;
 	}
 
-	private static List<Integer> some(RetryFleet fleet, double share) {
+	private static List<Integer> sample(RetryFleet fleet, double share) {
 		List<Integer> vms = new ArrayList<>(fleet.vms());
 		Collections.shuffle(vms, fleet.random());
 		return vms.subList(0, (int) Math.ceil(vms.size() * share));
@@ -41,13 +41,13 @@
 
 		// A process that starts again spends once more what the one before it spent.
 		@Test
-		void entriesKilledInSeriesWhileEndpointsRefuse() {
+		void entryVmsKilledInSeriesWhileEndpointsRefuse() {
 			for (long seed = 1; seed <= 50; seed++) {
-				RetryFleet fleet = served(RULE, VMS, seed);
+				RetryFleet fleet = warmedUp(RULE, VMS, seed);
 				fleet.load(100, 0.8);
 				for (int kill = 0; kill < 4; kill++) {
 					fleet.run(2 * SECOND);
-					some(fleet, 0.8).forEach(fleet::start);
+					sample(fleet, 0.8).forEach(fleet::start);
 				}
 				fleet.run(12 * SECOND);
 				assertThat(fleet.retryCount()).isGreaterThan(100);
@@ -58,8 +58,8 @@
 		// An entry spends for the callers that it had, and another one for the same
 		// callers after they moved.
 		@Test
-		void callersThatMoveToAnotherEntry() {
-			RetryFleet fleet = served(RULE, VMS, 1);
+		void callersThatMoveToAnotherEntryVm() {
+			RetryFleet fleet = warmedUp(RULE, VMS, 1);
 			fleet.prefer(0);
 			fleet.run(20 * SECOND);
 			fleet.load(60, 0.9);
@@ -72,18 +72,18 @@
 		// All requests that wait for an endpoint count on the same last retry.
 		@Test
 		void retriesThatWaitForAnEndpoint() {
-			RetryFleet fleet = served(RULE, VMS, 1);
+			RetryFleet fleet = warmedUp(RULE, VMS, 1);
 			fleet.load(60, 0.9);
 			fleet.run(15 * SECOND);
-			fleet.sendAfter(2 * SECOND);
+			fleet.delayRetries(2 * SECOND);
 			fleet.run(15 * SECOND);
 			assertWithin(fleet, "retries wait");
 		}
 
 		// An entry that heard of no other one since its start spends the whole minimum.
 		@Test
-		void entriesThatStartWithoutControl() {
-			RetryFleet fleet = served(RULE, VMS, 1);
+		void entryVmsThatStartWithoutControl() {
+			RetryFleet fleet = warmedUp(RULE, VMS, 1);
 			fleet.control(false);
 			fleet.vms().forEach(fleet::start);
 			fleet.run(20 * SECOND);
@@ -94,8 +94,8 @@
 
 		// A control VM that just started has heard of few entries only.
 		@Test
-		void controlThatStartsAfterALongTimeWithout() {
-			RetryFleet fleet = served(RULE, VMS, 1);
+		void controlThatStartsAfterALongOutage() {
+			RetryFleet fleet = warmedUp(RULE, VMS, 1);
 			fleet.control(false);
 			fleet.run(20 * SECOND);
 			fleet.load(60, 0.9);
@@ -107,11 +107,11 @@
 		// The others divide the part of an entry that control lost sight of, and it still
 		// spends it.
 		@Test
-		void entriesThatAreCutOffFromControl() {
-			RetryFleet fleet = served(RULE, VMS, 1);
+		void entryVmsDisconnectedFromControl() {
+			RetryFleet fleet = warmedUp(RULE, VMS, 1);
 			fleet.load(10, 0);
 			for (int vm = 0; vm < VMS / 2; vm++) {
-				fleet.cut(vm, 60 * SECOND);
+				fleet.disconnect(vm, 60 * SECOND);
 			}
 			fleet.run(40 * SECOND);
 			fleet.load(10, 0.9);
@@ -122,12 +122,12 @@
 	}
 
 	@Nested
-	class NoFaultOfEntries {
+	class NoEntryVmFaults {
 
 		// Care with the budget costs callers the retries that it allows.
 		@Test
-		void callersHaveMostOfTheBudgetWhileEndpointsRefuse() {
-			RetryFleet fleet = served(RULE, VMS, 1);
+		void mostOfTheBudgetIsUsableWhileEndpointsRefuse() {
+			RetryFleet fleet = warmedUp(RULE, VMS, 1);
 			fleet.load(60, 0.9);
 			for (int window = 0; window < 4; window++) {
 				int before = fleet.retryCount();
@@ -145,10 +145,10 @@
 
 		// Faults of all kinds come in series and overlap, as drawn from the seed.
 		@Test
-		void sumStaysWithinTheRuleWhateverHappensToEntries() {
+		void sumStaysWithinTheRuleUnderAnyFaults() {
 			for (long seed = 1; seed <= 200; seed++) {
 				int vms = 2 + (int) (seed % 12);
-				RetryFleet fleet = served(new RetryFleet.Rule(10 * SECOND, 0.2, 26 + seed % 100), vms, seed);
+				RetryFleet fleet = warmedUp(new RetryFleet.Rule(10 * SECOND, 0.2, 26 + seed % 100), vms, seed);
 				Random random = fleet.random();
 				int next = vms;
 				while (fleet.seconds() < 120) {
@@ -164,16 +164,16 @@
 			double share = random.nextDouble();
 			long nanos = (1 + random.nextInt(300)) * SECOND / 10;
 			switch (random.nextInt(8)) {
-				case 0, 1 -> some(fleet, share).forEach(fleet::start);
-				case 2 -> some(fleet, share).forEach((vm) -> fleet.freeze(vm, nanos / 4));
-				case 3 -> some(fleet, share).forEach((vm) -> fleet.cut(vm, nanos));
+				case 0, 1 -> sample(fleet, share).forEach(fleet::start);
+				case 2 -> sample(fleet, share).forEach((vm) -> fleet.freeze(vm, nanos / 4));
+				case 3 -> sample(fleet, share).forEach((vm) -> fleet.disconnect(vm, nanos));
 				case 4 -> fleet.control(random.nextInt(3) != 0);
 				case 5 -> fleet.prefer(random.nextInt(next));
 				case 6 -> fleet.prefer(-1);
 				default -> {
 					fleet.start(next);
 					if (fleet.vms().size() > 3) {
-						fleet.remove(some(fleet, 0.1).get(0));
+						fleet.remove(sample(fleet, 0.1).get(0));
 					}
 					return next + 1;
 				}
--- a/core/src/test/java/org/acaciacourse/core/balance/SharerCountTests.java
+++ b/core/src/test/java/org/acaciacourse/core/balance/SharerCountTests.java
@@ -14,7 +14,7 @@
 	private final SharerCount count = new SharerCount();
 
 	// Control tells the number once a second.
-	private void told(int number, int fromSecond, int toSecond) {
+	private void receive(int number, int fromSecond, int toSecond) {
 		for (int second = fromSecond; second <= toSecond; second++) {
 			this.count.told(number, second * SECOND);
 		}
@@ -30,17 +30,17 @@
 		// All VMs start again at once, and control has heard of two entries. Each of the
 		// six would spend the part of the others while endpoints fail all around.
 		@Test
-		void numberIsNotKnownUntilControlHeardOfAll() {
-			told(1, 1, 2);
+		void countIsUnknownUntilControlHasHeardFromAll() {
+			receive(1, 1, 2);
 			assertThat(sharers(2)).isEqualTo(OptionalInt.empty());
-			told(6, 3, 16);
+			receive(6, 3, 16);
 			assertThat(sharers(15)).isEqualTo(OptionalInt.empty());
 			assertThat(sharers(16)).isEqualTo(OptionalInt.of(6));
 		}
 
 		// An entry that reaches no control VM takes itself for the only one.
 		@Test
-		void numberIsNotKnownWithoutControl() {
+		void countIsUnknownWithoutControl() {
 			assertThat(sharers(100)).isEqualTo(OptionalInt.empty());
 		}
 
@@ -51,18 +51,18 @@
 
 		// A control VM that just started counts few entries for some seconds.
 		@Test
-		void numberFallsOnlyAfterAWhile() {
-			told(6, 1, 20);
-			told(2, 21, 45);
+		void countFallsOnlyAfterTheHoldTime() {
+			receive(6, 1, 20);
+			receive(2, 21, 45);
 			assertThat(sharers(45)).isEqualTo(OptionalInt.of(6));
-			told(2, 46, 46);
+			receive(2, 46, 46);
 			assertThat(sharers(46)).isEqualTo(OptionalInt.of(2));
 		}
 
 		@Test
-		void numberRisesAtOnce() {
-			told(6, 1, 20);
-			told(7, 21, 21);
+		void countRisesImmediately() {
+			receive(6, 1, 20);
+			receive(7, 21, 21);
 			assertThat(sharers(21)).isEqualTo(OptionalInt.of(7));
 		}
 
@@ -73,19 +73,19 @@
 
 		// Control does not count a VM that is cut off, and the others divide its part.
 		@Test
-		void partIsGivenUp() {
-			told(6, 1, 20);
+		void countIsUnknownAfterTheLease() {
+			receive(6, 1, 20);
 			assertThat(sharers(30)).isEqualTo(OptionalInt.of(6));
 			assertThat(sharers(31)).isEqualTo(OptionalInt.empty());
 		}
 
 		// All control VMs start again, and the first one that answers knows one entry.
 		@Test
-		void numberFromBeforeItHoldsForAWhile() {
-			told(6, 1, 20);
-			told(1, 60, 60);
+		void previousCountHoldsForTheHoldTime() {
+			receive(6, 1, 20);
+			receive(1, 60, 60);
 			assertThat(sharers(60)).isEqualTo(OptionalInt.of(6));
-			told(1, 61, 86);
+			receive(1, 61, 86);
 			assertThat(sharers(86)).isEqualTo(OptionalInt.of(1));
 		}
 
