--- a/core/src/main/java/org/acaciacourse/core/balance/BriefEngines.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/BriefEngines.java
@@ -7,17 +7,18 @@
 import java.util.Set;
 
 /**
- * The engines for requests whose target is the shortest: the first of all that stay, in
- * the order of a hash, so that the entry VMs agree on them. How many there are follows
- * from how many such requests run at all entries. An engine that is kept for them lacks
- * for long prompts, and one too few makes all brief answers late, so that no fixed part
- * is right for more than one mix.
+ * Selects the engines that are reserved for brief requests, which are those with the
+ * tightest latency target of the pool. The reserved engines are the first staying ones in
+ * the order of a hash of their instance, so that all entry VMs select the same ones.
+ * Their number follows the brief requests that run at all entry VMs. Each reserved engine
+ * is missing for long prompts, and one too few makes all brief answers late, so that no
+ * fixed share suits more than one mix of requests.
  * <p>
- * On a day with bursts of both kinds, 48 in a hundred long prompts were in time with a
- * fixed quarter, two of six engines, and 79 with one; of the brief requests it was 89
- * with two and 68 with one.
+ * On a day with bursts of both kinds, a fixed quarter (two of six engines) kept 48% of
+ * the long prompts and 89% of the brief requests on time; one reserved engine kept 79%
+ * and 68%.
  * <p>
- * Invariant: once divided, at most half of the engines are for brief requests.
+ * Invariant: at most half of the engines are reserved once the pool is divided.
  * <p>
  * Not thread safe: belongs to one {@link PoolBalancer}.
  */
@@ -26,21 +27,23 @@
 	/** With fewer endpoints a crash would leave one of the two kinds without any. */
 	private static final int MIN_ENDPOINTS_TO_DIVIDE = 4;
 
-	/** Over what time the waiting work is taken: prompts come in clumps. */
+	/** Time constant of the smoothed waiting work: prompts arrive in clusters. */
 	private static final double SMOOTHING_NANOS = 500_000_000;
 
-	/** Digests of the other entries take some hundred milliseconds to show a change. */
+	/** Digests of the other entry VMs take some hundred milliseconds to show a change. */
 	private static final long MIN_RESIZE_INTERVAL_NANOS = 500_000_000L;
 
 	/**
-	 * How often it is looked at, at most: every request would take time for nothing.
+	 * Bounds how often the division is updated: an update for every request would cost
+	 * time without benefit.
 	 */
 	private static final long MIN_UPDATE_INTERVAL_NANOS = 20_000_000L;
 
 	/**
-	 * How many change at a time, at most, as a part of all engines: what runs on fewer of
-	 * them runs longer, which shows only then. With one at a time a hundred engines are
-	 * behind a burst for as long as it lasts.
+	 * The number of engines changes by at most this fraction (1/8) of the pool at a time,
+	 * because requests take longer on fewer engines and the effect shows only later. With
+	 * steps of one engine, a pool of a hundred lags behind a burst for its whole
+	 * duration.
 	 */
 	private static final int RESIZE_DIVISOR = 8;
 
@@ -50,7 +53,7 @@
 
 	private final Set<EndpointLoad> reserved = new HashSet<>();
 
-	// 0 before there are endpoints.
+	// 0 until there are endpoints.
 	private int targetSize;
 
 	private double smoothedWaitingWork;
@@ -62,7 +65,7 @@
 	private long resizedAt = Long.MIN_VALUE / 2;
 
 	/**
-	 * Set how the number of engines is found from now on.
+	 * Set the policy that determines the number of reserved engines.
 	 * @param next the policy
 	 * @param loads the endpoints
 	 */
@@ -92,8 +95,8 @@
 		}
 	}
 
-	// The next ones stand in for those that are lost: brief requests would be spread over
-	// all engines for long prompts otherwise, and be late there.
+	// Replaces lost engines by the next ones in hash order: brief requests would
+	// otherwise be spread over all engines that serve long prompts, and be late there.
 	private void selectReserved(long now) {
 		boolean useStandIns = this.policy.isOn(RoutingMechanism.BRIEF_STAND_INS);
 		this.reserved.clear();
@@ -112,7 +115,8 @@
 	}
 
 	/**
-	 * Let the number of engines follow what runs and waits at all entries.
+	 * Adapt the number of reserved engines to the requests that run and wait at all entry
+	 * VMs.
 	 * @param now the time
 	 */
 	void update(long now) {
@@ -142,7 +146,8 @@
 		return Math.max(1, this.enginesByHash.size() / RESIZE_DIVISOR);
 	}
 
-	// How many engines the brief requests fill to a part of their slots.
+	// The number of engines whose slots the running brief requests fill to the given
+	// fraction.
 	private int enginesNeeded(double filled) {
 		double slotsEach = (double) slotsOf(this.enginesByHash.size()) / this.enginesByHash.size();
 		return (int) Math.ceil(this.runningBrief / (filled * slotsEach));
@@ -181,8 +186,8 @@
 	}
 
 	/**
-	 * Tell what is believed, for the log.
-	 * @return the division as it was looked at last
+	 * Return the division for the log.
+	 * @return the division as of the last update
 	 */
 	PoolBalancer.Division division() {
 		return new PoolBalancer.Division(this.reserved.size(), this.runningBrief, Math.round(this.smoothedWaitingWork));
--- a/core/src/main/java/org/acaciacourse/core/balance/CandidateSampler.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/CandidateSampler.java
@@ -3,13 +3,13 @@
 import net.openhft.hashing.LongHashFunction;
 
 /**
- * How many endpoints are compared for one request. What is known of the other entry VMs
- * is as old as their digests. Whatever they sent since is untold, and if all take the
- * endpoint that looks best to all of them, it gets all of that: with many entry VMs a
- * crowd moves from endpoint to endpoint, each time filling one up while others are idle.
- * The best of a few that are drawn at random spreads the requests better then
- * (Mitzenmacher, How Useful Is Old Information?, 2000). The fewer requests are untold,
- * the more endpoints are compared, up to all.
+ * Determines how many endpoints are compared for one request. What this VM knows of the
+ * other entry VMs is as old as their digests, and the requests that they sent since are
+ * unreported. If all entry VMs choose the endpoint that looks best, it receives all of
+ * these requests: with many entry VMs the load moves in herds, filling one endpoint after
+ * the other while others are idle. Choosing the best of a few random candidates spreads
+ * the requests better in that case (Mitzenmacher, How Useful Is Old Information?, 2000).
+ * The fewer requests are unreported, the more endpoints are compared, up to all.
  * <p>
  * Not thread safe: belongs to one {@link PoolBalancer}.
  */
@@ -17,10 +17,10 @@
 
 	private static final LongHashFunction HASH = LongHashFunction.xx3();
 
-	/** The best of one is no choice. */
+	/** With one candidate there is no choice. */
 	private static final int MIN_CANDIDATES = 2;
 
-	/** Over what time requests are counted: longer than the clumps that callers send. */
+	/** Window of the request rate: longer than the clusters in which callers send. */
 	private static final double RATE_WINDOW_SECONDS = 1;
 
 	private final PeerLoads peers;
@@ -34,7 +34,7 @@
 	}
 
 	/**
-	 * This VM sent a request.
+	 * Record a request that this VM sent.
 	 * @param now the time
 	 */
 	void requestSent(long now) {
@@ -48,22 +48,22 @@
 	}
 
 	/**
-	 * Return the share of endpoints to compare. The best of a share of them is the best
-	 * for that share of the untold requests.
-	 * @param maxUnreported how many untold requests one endpoint may get
+	 * Return the fraction of the endpoints to compare. An endpoint that is the best of
+	 * such a sample is so only for that fraction of the unreported requests.
+	 * @param maxUnreported how many unreported requests one endpoint may get
 	 * @param now the time
-	 * @return the share, 1 for all
+	 * @return the fraction, 1 for all
 	 */
 	double share(double maxUnreported, long now) {
-		// Callers are spread over the entry VMs, so that the others send what this one
-		// does; a digest is half its pause old in the mean.
+		// Callers are spread over the entry VMs, so the other VMs are assumed to send at
+		// the rate of this one. On average a digest is half an interval old.
 		double unreported = requestsPerSecond(now) * this.peers.peerCount() * this.peers.intervalNanos() / 2e9;
 		return (unreported <= maxUnreported) ? 1 : maxUnreported / unreported;
 	}
 
 	/**
-	 * Draws from endpoints that are asked for one after the other: those from a random
-	 * one on, so that each is as likely as any other.
+	 * A random sample of endpoints that are visited in a fixed order: a run of
+	 * consecutive ones from a random start, so that each endpoint is equally likely.
 	 */
 	static final class Draw {
 
@@ -77,9 +77,9 @@
 
 		/**
 		 * Make a draw.
-		 * @param share the share to draw
-		 * @param endpoints how many there are
-		 * @param salt decides which
+		 * @param share the fraction to draw
+		 * @param endpoints the number of endpoints
+		 * @param salt selects the start
 		 */
 		Draw(double share, int endpoints, long salt) {
 			this.endpoints = Math.max(1, endpoints);
@@ -88,7 +88,7 @@
 		}
 
 		/**
-		 * Return whether the next endpoint is drawn.
+		 * Return whether the next endpoint is in the sample.
 		 * @return whether to compare it
 		 */
 		boolean isNextDrawn() {
--- a/core/src/main/java/org/acaciacourse/core/balance/EndpointLoad.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/EndpointLoad.java
@@ -6,8 +6,9 @@
 import org.acaciacourse.core.route.FleetEndpoint;
 
 /**
- * What an entry VM knows of the load and the health of one endpoint: its own requests
- * there, and what the endpoint told of all. Invariant: counts never fall below 0.
+ * The load and health of one endpoint as seen by an entry VM: its own requests there, and
+ * what the endpoint and the other entry VMs reported. Invariant: counts never fall below
+ * 0.
  * <p>
  * Not thread safe: belongs to one {@link PoolBalancer}.
  */
@@ -16,26 +17,31 @@
 	private static final LongHashFunction HASH = LongHashFunction.xx3();
 
 	/**
-	 * For how long a report of an endpoint's load counts: engines tell their load some
+	 * How long a load report of an endpoint is valid: engines report their load some
 	 * hundred milliseconds late, and requests last seconds.
 	 */
 	private static final long REPORT_VALIDITY_NANOS = 1_500_000_000L;
 
-	/** The first pause after a failed connection. */
+	/** The pause after the first failed connection. */
 	private static final long MIN_PAUSE_NANOS = 250_000_000L;
 
-	/** The longest pause: an endpoint that is back is found again within it. */
+	/** The longest pause. It bounds how long a recovered endpoint remains unused. */
 	private static final long MAX_PAUSE_NANOS = 2_000_000_000L;
 
-	/** Weight of a new outcome in the failure rate: some ten outcomes make a verdict. */
+	/**
+	 * Weight of a new outcome in the failure rate, which averages over some ten outcomes.
+	 */
 	private static final double FAILURE_WEIGHT = 0.15;
 
-	/** Faults of part of the answers last for seconds. */
+	/**
+	 * Time constant of the failure rate: partial failures of an endpoint last for
+	 * seconds.
+	 */
 	private static final double FAILURE_DECAY_SECONDS = 3;
 
 	/**
-	 * An engine sends an event of each answer for every few steps of its batch, of which
-	 * one takes 35 ms with a full batch and a prompt that is read beside it.
+	 * An engine sends an event for each running answer every few batch steps. A step
+	 * takes 35 ms with a full batch and a concurrent prefill.
 	 */
 	private static final long SUSPECT_AFTER_NANOS = 400_000_000L;
 
@@ -108,13 +114,13 @@
 		this.waitingWork += work;
 	}
 
-	// All others go before it, so that nothing waits for it.
+	// All other requests overtake a deferred one, so that none waits for it.
 	void beginDeferred(long work) {
 		this.inFlight++;
 		this.deferredWork += work;
 	}
 
-	// The prompt was read: the first event came, or the request ended before.
+	// The prompt was prefilled: the first event arrived, or the request ended before it.
 	void prefillDone(long work) {
 		this.waitingWork = Math.max(0, this.waitingWork - work);
 	}
@@ -123,7 +129,7 @@
 		this.deferredWork = Math.max(0, this.deferredWork - work);
 	}
 
-	// The own work that others go before.
+	// Work of this VM's deferred requests.
 	long deferredWork() {
 		return this.deferredWork;
 	}
@@ -136,12 +142,13 @@
 		this.briefInFlight = Math.max(0, this.briefInFlight - 1);
 	}
 
-	// The brief requests there of all VMs, as far as they tell.
+	// Brief requests of all VMs, including those that other VMs reported.
 	int briefRunning() {
 		return this.briefInFlight + this.peers.brief(this.id);
 	}
 
-	// An answer began to come, of which something is due every few steps.
+	// An answer started to stream. From now on an event is expected every few batch
+	// steps.
 	void streamBegan() {
 		this.streams++;
 	}
@@ -154,18 +161,18 @@
 		this.lastActivityAt = now;
 	}
 
-	// When anything came from the endpoint last, on any connection.
+	// When any data last arrived from the endpoint, on any connection.
 	long lastActivityAt() {
 		return this.lastActivityAt;
 	}
 
-	// An engine that went dark is not found by its connections for seconds; answers that
-	// stopped in the middle tell it in a fraction of one.
+	// It takes seconds to detect a failed engine by its connections. Streams that stall
+	// show it within a fraction of a second.
 	boolean isSuspect(long now) {
 		return this.streams > 0 && now - this.lastActivityAt > SUSPECT_AFTER_NANOS;
 	}
 
-	// Whether it could not be reached the last time, or broke off.
+	// Whether the last connection failed or broke.
 	boolean isLost() {
 		return this.consecutiveLosses > 0;
 	}
@@ -191,7 +198,7 @@
 		this.failureAt = now;
 	}
 
-	// No connection, or one that broke or went silent.
+	// No connection, or one that broke or timed out.
 	void lost(long now) {
 		failed(now);
 		long pause = Math.min(MAX_PAUSE_NANOS, MIN_PAUSE_NANOS << Math.min(this.consecutiveLosses, 8));
@@ -199,7 +206,7 @@
 		this.pausedUntil = now + pause;
 	}
 
-	// The endpoint said that it is full or leaving.
+	// The endpoint reported that it is full or leaving.
 	void refused(long now, long pause) {
 		this.pausedUntil = Math.max(this.pausedUntil, now + pause);
 	}
@@ -212,7 +219,7 @@
 		return this.inFlight;
 	}
 
-	// The work that waits there for all VMs, as far as they tell.
+	// The work that waits there for all VMs, including what other VMs reported.
 	long waitingWork() {
 		return this.waitingWork + this.peers.waitingWork(this.id);
 	}
@@ -221,7 +228,8 @@
 		return new PeerLoads.Load(this.id, this.inFlight, this.waitingWork, this.briefInFlight);
 	}
 
-	// Own requests, and those of others as far as they, or a fresh report, tell.
+	// Own requests, plus those of others from the digests of the peers or, without any,
+	// from a recent report of the endpoint.
 	int running(long now) {
 		if (this.peers.isTold()) {
 			return this.inFlight + this.peers.inFlight(this.id);
@@ -235,7 +243,7 @@
 		return (fresh && !this.peers.isTold()) ? this.reportedWaiting : 0;
 	}
 
-	// The failure rate fades, so that an endpoint that is well again gets its share.
+	// The failure rate decays, so that a recovered endpoint gets its share again.
 	double failureRate(long now) {
 		double age = (now - this.failureAt) / 1e9;
 		return this.failureRate * Math.exp(-Math.max(0, age) / FAILURE_DECAY_SECONDS);
--- a/core/src/main/java/org/acaciacourse/core/balance/HomeEndpoints.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/HomeEndpoints.java
@@ -8,16 +8,16 @@
 
 /**
  * The two endpoints that rendezvous hashing (Thaler and Ravishankar, 1998) ranks highest
- * for the shared parts of a prompt, the same at all entry VMs. Two choices keep the
- * queues of a skewed load even where one does not (Mitzenmacher, The Power of Two Choices
- * in Randomized Load Balancing, 2001), and two places for a part keep the number of its
- * copies bounded.
+ * for the shared parts of a prompt. They are the same at all entry VMs. A choice between
+ * two keeps queues balanced under a skewed load (Mitzenmacher, The Power of Two Choices
+ * in Randomized Load Balancing, 2001), and two homes bound the number of cached copies of
+ * a part.
  * <p>
  * Immutable and thread safe.
  *
- * @param primary the endpoint that reads the parts, none if the prompt shares none
- * @param secondary the one that helps it
- * @param cached whether the first one has read the parts already
+ * @param primary the endpoint that prefills the parts, none if the prompt shares none
+ * @param secondary the endpoint that prefills them too if the primary is busy
+ * @param cached whether the primary has the parts in its cache already
  */
 record HomeEndpoints(Optional<EndpointLoad> primary, Optional<EndpointLoad> secondary, boolean cached) {
 
@@ -26,7 +26,7 @@
 	private static final LongHashFunction HASH = LongHashFunction.xx3();
 
 	/**
-	 * Find the homes of a prompt.
+	 * Find the home endpoints of a prompt.
 	 * @param shape the prompt
 	 * @param usable the endpoints that may get it
 	 * @param eligible tells which of them may be a home
@@ -59,8 +59,8 @@
 	}
 
 	/**
-	 * Return by how much the queue of the first one is longer.
-	 * @return the difference in prompt tokens, 0 without a second one
+	 * Return by how much the queue of the primary is longer.
+	 * @return the difference in prompt tokens, 0 without a secondary
 	 */
 	long queueDifference() {
 		return this.secondary.map((other) -> this.primary.get().waitingWork() - other.waitingWork()).orElse(0L);
@@ -79,10 +79,10 @@
 	}
 
 	/**
-	 * Return what an endpoint is to the parts.
+	 * Return the role of an endpoint for the shared parts.
 	 * @param load the endpoint
-	 * @param cachesAll whether it holds all of them
-	 * @return what it is; where there are no homes all are the first one
+	 * @param cachesAll whether it has all of them in its cache
+	 * @return the role; without homes all endpoints are primary
 	 */
 	HomeRole role(EndpointLoad load, boolean cachesAll) {
 		if (cachesAll || this.primary.isEmpty() || matches(this.primary, load)) {
--- a/core/src/main/java/org/acaciacourse/core/balance/HomeRole.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/HomeRole.java
@@ -1,19 +1,19 @@
 package org.acaciacourse.core.balance;
 
 /**
- * What an endpoint is to the shared parts of a prompt.
+ * The role of an endpoint for the shared parts of a prompt.
  * <p>
  * Immutable and thread safe.
  */
 enum HomeRole {
 
-	/** It holds them, or is the one to read them. */
+	/** It has the parts in its cache, or is the one to prefill them. */
 	PRIMARY,
 
-	/** It reads them once more if the queue of the first one is long. */
+	/** It prefills the parts once more if the queue of the primary is long. */
 	SECONDARY,
 
-	/** They are read there only if nothing else is left. */
+	/** The parts are prefilled there only if no other endpoint is left. */
 	NONE
 
 }
--- a/core/src/main/java/org/acaciacourse/core/balance/IdleLimit.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/IdleLimit.java
@@ -1,38 +1,45 @@
 package org.acaciacourse.core.balance;
 
 /**
- * For how long an idle connection to the endpoints of one pool may be used again. What
- * endpoints tell is not always what they do: one that drops idle connections sooner, and
- * silently, resets whatever is sent next on them. A request that must not run twice is
- * lost then, as it may have run. The first such loss teaches the limit for the pool: with
- * many endpoints and few requests to each, learning for every endpoint by itself would
- * lose a request for each of them.
+ * The time for which an idle connection to the endpoints of one pool may be reused.
+ * Endpoints do not always keep the time-out that they announce: one that silently drops
+ * idle connections sooner resets the next request on them. A request that must not run
+ * twice is lost then, as it may have run. The limit is learned for the whole pool: with
+ * many endpoints and few requests to each, learning it for each endpoint would lose a
+ * request at every one of them.
  * <p>
  * Not thread safe: belongs to one event loop.
  */
 public final class IdleLimit {
 
-	/** Shorter rests are not the cause: requests follow each other within them. */
+	/**
+	 * Resets after a shorter idle time have other causes: consecutive requests are that
+	 * close.
+	 */
 	private static final long MIN_IDLE_NANOS = 50_000_000L;
 
-	/** An endpoint resets such a connection at once; a crash may hit at any time. */
+	/**
+	 * An endpoint resets a dropped connection immediately, whereas a crash may occur at
+	 * any time.
+	 */
 	private static final long RESET_WITHIN_NANOS = 50_000_000L;
 
 	/**
-	 * The limit as a part of the rest after which a connection was lost. Drawn evenly, a
-	 * rest that was too long is twice the bound in the mean.
+	 * The limit as a fraction of the idle time after which a connection was lost. If idle
+	 * times are uniformly distributed, one that was too long is twice the time-out on
+	 * average.
 	 */
 	private static final double LIMIT_FRACTION = 0.5;
 
 	/**
-	 * How long the lesson holds. A new connection costs milliseconds, a lost request all
-	 * of its worth.
+	 * How long a learned limit is valid. A new connection costs milliseconds, a lost
+	 * request all of its value.
 	 */
 	private static final long VALIDITY_NANOS = 10_000_000_000L;
 
 	/**
-	 * Losses within this time have one cause. An endpoint that loses a few answers in a
-	 * hundred is met again much later.
+	 * Losses within this time are assumed to have the same cause. With an endpoint that
+	 * loses a few percent of its answers, the next loss comes much later.
 	 */
 	private static final long CORRELATION_NANOS = 3_000_000_000L;
 
@@ -47,7 +54,7 @@
 	private long candidateAt = NEVER;
 
 	/**
-	 * A request on a kept connection was lost without any answer.
+	 * Record a request on a reused connection that was lost without any answer.
 	 * @param idle how long the connection had been idle before
 	 * @param elapsed the time from the request to the loss
 	 * @param now the time
@@ -66,9 +73,9 @@
 	}
 
 	/**
-	 * Return the limit in force.
+	 * Return the current limit.
 	 * @param now the time
-	 * @return nanoseconds, {@link Long#MAX_VALUE} if nothing was lost lately
+	 * @return nanoseconds, {@link Long#MAX_VALUE} if there were no recent losses
 	 */
 	public long limit(long now) {
 		return (now - this.learnedAt < VALIDITY_NANOS) ? this.limit : Long.MAX_VALUE;
--- a/core/src/main/java/org/acaciacourse/core/balance/LoadDigest.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/LoadDigest.java
@@ -5,31 +5,32 @@
 import java.util.Map;
 
 /**
- * What one entry VM tells others of the load at the endpoints. A digest that is too large
- * for a packet is told in parts, each of which stands for its own endpoints.
+ * A summary of the load at the endpoints that one entry VM sends to others. A digest that
+ * is too large for a packet is sent in parts, each of which covers its own endpoints.
  * <p>
  * Immutable and thread safe.
  *
  * @param kind what it covers
- * @param sequence its number, higher than that of any before, also in earlier lives
- * @param part the place of this part
- * @param parts how many parts there are
- * @param vms how many VMs have their load in it
- * @param loads the load at each endpoint where there is any
- * @param uses the shared parts of prompts that endpoints were sent lately
- * @param heard the numbers of the reports in it, by the short names of their senders
+ * @param sequence its sequence number, higher than any before, also across restarts
+ * @param part the index of this part
+ * @param parts the number of parts
+ * @param vms the number of VMs whose load is included
+ * @param loads the load at each endpoint that has any
+ * @param uses the shared parts of prompts that were recently sent to endpoints
+ * @param heard the sequence numbers of the included reports, by the ids of their senders
  */
 public record LoadDigest(Kind kind, long sequence, int part, int parts, int vms, List<PeerLoads.Load> loads,
 		List<PartUse> uses, Map<Integer, Long> heard) {
 
-	/** Endpoints in a part, which takes less than a packet with the rest. */
+	/** Endpoints in a part, which together with the rest fit into a packet. */
 	private static final int MAX_LOADS_PER_PART = 60;
 
 	/** Uses in a part. */
 	static final int MAX_USES_PER_PART = 30;
 
 	/**
-	 * Uses beyond these parts are not told: what they name is read once more at worst.
+	 * Bounds the parts of a digest. Uses that do not fit are dropped: at worst their
+	 * prompt parts are prefilled once more.
 	 */
 	private static final int MAX_PARTS = 32;
 
@@ -45,8 +46,8 @@
 	/**
 	 * Make a digest of one part.
 	 * @param kind what it covers
-	 * @param sequence its number
-	 * @param vms how many VMs have their load in it
+	 * @param sequence its sequence number
+	 * @param vms the number of VMs whose load is included
 	 * @param loads the loads
 	 * @param uses the uses
 	 * @return the digest
@@ -61,7 +62,7 @@
 	}
 
 	/**
-	 * Cut it into parts that fit a packet.
+	 * Split the digest into parts that fit into a packet.
 	 * @return the parts, at least one
 	 */
 	List<LoadDigest> split() {
@@ -88,13 +89,13 @@
 	/** What a digest covers. */
 	public enum Kind {
 
-		/** What the sender has under way, and those that report to it. */
+		/** The load of the sender and of the VMs that report to it. */
 		SUMMARY,
 
-		/** What the sender has under way, for the VM that sums it up. */
+		/** The load of the sender, for the relay that aggregates it. */
 		REPORT,
 
-		/** What all entry VMs have under way, for those that reported to the sender. */
+		/** The load of all entry VMs, for those that reported to the sender. */
 		VIEW
 
 	}
--- a/core/src/main/java/org/acaciacourse/core/balance/LoadExchange.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/LoadExchange.java
@@ -7,41 +7,44 @@
 import java.util.Optional;
 
 /**
- * Decides what an entry VM tells the others of the load at the endpoints. A few VMs tell
- * one another. With more of them each reports to the relay of its group
- * ({@link RelaySelector}), which sums the reports up, exchanges sums with the other
- * relays and tells its group what all VMs have under way: each VM then sends and receives
- * a bounded number of digests in a second, and a view is some tenths of a second old,
- * whatever the number of VMs.
+ * Decides which load digests an entry VM sends to the others. A few VMs send digests to
+ * each other directly. With more of them each reports to the relay of its group
+ * ({@link RelaySelector}), which aggregates the reports, exchanges summaries with the
+ * other relays and sends its group a view of the load of all VMs. Each VM then sends and
+ * receives a bounded number of digests per second, and a view is some tenths of a second
+ * old, whatever the number of VMs.
  * <p>
- * All state is soft. A relay that fails costs its group an older view for less than
- * {@link PeerLoads#EXPIRY_NANOS}, and then the next one serves it.
+ * All state is soft. If a relay fails, the view of its group grows older for less than
+ * {@link PeerLoads#EXPIRY_NANOS}, and then the next relay takes over.
  * <p>
- * Invariant: what this VM has under way itself is never part of what {@link PeerLoads}
- * tells of the others.
+ * Invariant: the load of this VM itself is never part of the load of the others in
+ * {@link PeerLoads}.
  * <p>
  * Not thread safe: belongs to one event loop.
  */
 public final class LoadExchange {
 
 	/**
-	 * Digests that a VM receives in a second from peers that tell one another: each is
-	 * one wake-up and one read, whatever their number.
+	 * Bounds the digests that a VM receives per second from direct peers: each costs one
+	 * wake-up and one read, whatever their number.
 	 */
 	private static final int MAX_RECEIVED_PER_SECOND = 100;
 
-	/** A prompt is read in some hundred milliseconds: more often tells little more. */
+	/**
+	 * Prefilling a prompt takes some hundred milliseconds: a shorter interval adds little
+	 * information.
+	 */
 	private static final long MIN_INTERVAL_MILLIS = 60;
 
 	private static final long RELAYED_INTERVAL_MILLIS = 100;
 
-	/** The longest pause between two digests of a VM that has nothing new to tell. */
+	/** The longest interval between two digests of a VM whose load does not change. */
 	private static final long MAX_INTERVAL_NANOS = 500_000_000L;
 
-	/** The same for a relay, whose silence has its group choose another one. */
+	/** The same for a relay. Its group switches to another relay if it is silent. */
 	private static final long MAX_RELAY_INTERVAL_NANOS = 200_000_000L;
 
-	/** Reports that may be on their way or in the sums of a relay. */
+	/** Reports that may be in transit or included in the sums of a relay. */
 	private static final int MAX_KEPT_REPORTS = 32;
 
 	private final LoadPeer self;
@@ -82,8 +85,9 @@
 	/**
 	 * Make an exchange.
 	 * @param self this VM
-	 * @param loads takes what the others tell
-	 * @param sequence the number of the last digest, above those of earlier lives
+	 * @param loads receives the loads of the other VMs
+	 * @param sequence the sequence number of the last digest, higher than before a
+	 * restart
 	 * @param now the time
 	 */
 	public LoadExchange(LoadPeer self, PeerLoads loads, long sequence, long now) {
@@ -95,7 +99,7 @@
 	}
 
 	/**
-	 * Set which VMs take part.
+	 * Set the VMs that take part.
 	 * @param next the live VMs, with or without this one
 	 */
 	public void peers(List<LoadPeer> next) {
@@ -104,7 +108,8 @@
 	}
 
 	/**
-	 * Set with how many peers VMs tell one another; with more they report to relays.
+	 * Set up to how many peers VMs send digests directly; with more they report to
+	 * relays.
 	 * @param max the number of peers
 	 */
 	public void mostDirect(int max) {
@@ -116,17 +121,17 @@
 	}
 
 	/**
-	 * Return who sums up what this VM has under way.
-	 * @return the address of its relay, its own if it is one, nothing while VMs tell one
-	 * another
+	 * Return the VM that aggregates the load of this one.
+	 * @return the address of its relay, its own if it is one itself, nothing while VMs
+	 * send digests directly
 	 */
 	public Optional<String> relay() {
 		return this.relay;
 	}
 
 	/**
-	 * Return the pause until the next call of {@link #tick}.
-	 * @return the pause in milliseconds
+	 * Return the time until the next call of {@link #tick}.
+	 * @return the time in milliseconds
 	 */
 	public long pauseMillis() {
 		return (isRelayed()) ? RELAYED_INTERVAL_MILLIS
@@ -134,8 +139,8 @@
 	}
 
 	/**
-	 * Decide what is sent now.
-	 * @param own what this VM has under way
+	 * Determine the digests to send now.
+	 * @param own the load of this VM
 	 * @param uses the uses of prompt parts since the last call
 	 * @param now the time
 	 * @return the digests with their receivers
@@ -159,7 +164,7 @@
 		return aggregate(own, now);
 	}
 
-	// The next relay knows nothing of this VM yet.
+	// The new relay has no report of this VM yet, so the next one is due immediately.
 	private void switchRelay(String next, long now) {
 		if (!this.relay.equals(Optional.of(next))) {
 			this.relay = Optional.of(next);
@@ -186,7 +191,7 @@
 		if (!isDue(own, MAX_INTERVAL_NANOS, now)) {
 			return List.of();
 		}
-		// One datagram: it goes to all peers.
+		// A single datagram, as it goes to all peers.
 		List<PartUse> uses = this.groupUses.forNextDigest().stream().limit(LoadDigest.MAX_USES_PER_PART).toList();
 		return send(LoadDigest.of(LoadDigest.Kind.SUMMARY, this.sequence, 1, own, uses), this.peers);
 	}
@@ -233,11 +238,12 @@
 	}
 
 	/**
-	 * Take a digest.
+	 * Process a received digest.
 	 * @param sender the address of its sender
 	 * @param digest the digest
 	 * @param now the time
-	 * @return whether it was used; one that is late, doubled or not for this VM is not
+	 * @return whether it was used; one that is outdated, a duplicate or not for this VM
+	 * is not
 	 */
 	public boolean take(String sender, LoadDigest digest, long now) {
 		return switch (digest.kind()) {
@@ -281,7 +287,7 @@
 	 * A digest to send.
 	 *
 	 * @param digest the digest
-	 * @param receivers the addresses of those that get it
+	 * @param receivers the addresses that it is sent to
 	 */
 	public record Outgoing(LoadDigest digest, List<String> receivers) {
 	}
--- a/core/src/main/java/org/acaciacourse/core/balance/LoadPeer.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/LoadPeer.java
@@ -7,8 +7,8 @@
  * <p>
  * Immutable and thread safe.
  *
- * @param address where it takes the load of others
- * @param dataCentre the data centre it is in, empty if that is not known
+ * @param address where it receives digests
+ * @param dataCentre its data centre, empty if unknown
  */
 public record LoadPeer(String address, String dataCentre) {
 
--- a/core/src/main/java/org/acaciacourse/core/balance/LoadSums.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/LoadSums.java
@@ -4,14 +4,14 @@
 import java.util.TreeMap;
 
 /**
- * Sums of loads by endpoint. Invariant: what was added and taken off again leaves nothing
- * behind.
+ * Sums of loads by endpoint. Invariant: adding loads and removing the same ones again
+ * leaves no entry behind.
  * <p>
  * Not thread safe.
  */
 final class LoadSums {
 
-	// In the order of the endpoints, so that equal sums make equal digests.
+	// Sorted by endpoint, so that equal sums make equal digests.
 	private final TreeMap<Integer, Sum> sums = new TreeMap<>();
 
 	void add(List<PeerLoads.Load> loads) {
@@ -53,7 +53,7 @@
 
 	/**
 	 * Return the sums.
-	 * @return one for each endpoint where there is any load, in their order
+	 * @return one for each endpoint that has any load, ordered by endpoint
 	 */
 	List<PeerLoads.Load> all() {
 		return this.sums.entrySet()
--- a/core/src/main/java/org/acaciacourse/core/balance/Outcome.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/Outcome.java
@@ -1,13 +1,13 @@
 package org.acaciacourse.core.balance;
 
 /**
- * What the end of a request tells of its endpoint.
+ * What the end of a request shows about the health of its endpoint.
  * <p>
  * Immutable and thread safe.
  */
 public enum Outcome {
 
-	/** It answered. */
+	/** The endpoint answered. */
 	GOOD {
 		@Override
 		void apply(EndpointLoad load, long now) {
@@ -15,7 +15,7 @@
 		}
 	},
 
-	/** It answered with a failure of its own. */
+	/** The endpoint answered with a failure of its own. */
 	FAILED {
 		@Override
 		void apply(EndpointLoad load, long now) {
@@ -23,7 +23,7 @@
 		}
 	},
 
-	/** It could not be reached, broke off or went silent. */
+	/** The endpoint could not be reached, or its connection broke or timed out. */
 	LOST {
 		@Override
 		void apply(EndpointLoad load, long now) {
@@ -31,7 +31,7 @@
 		}
 	},
 
-	/** Nobody listens at its address: its process is gone, and what it held. */
+	/** The connection was refused: the process of the endpoint and its cache are gone. */
 	GONE {
 		@Override
 		void apply(EndpointLoad load, long now) {
@@ -40,7 +40,7 @@
 		}
 	},
 
-	/** It is full. */
+	/** The endpoint is full. */
 	FULL {
 		@Override
 		void apply(EndpointLoad load, long now) {
@@ -48,7 +48,7 @@
 		}
 	},
 
-	/** It is leaving, or another one has its address now. */
+	/** The endpoint is leaving, or another one has its address now. */
 	LEAVING {
 		@Override
 		void apply(EndpointLoad load, long now) {
@@ -56,7 +56,7 @@
 		}
 	},
 
-	/** Nothing: the caller went away, or the time was over. */
+	/** Nothing: the caller disconnected, or the deadline passed. */
 	UNKNOWN {
 		@Override
 		void apply(EndpointLoad load, long now) {
@@ -65,13 +65,19 @@
 
 	abstract void apply(EndpointLoad load, long now);
 
-	// Constants of an enum can't be read by its values: they are made first.
+	// A separate class because the enum constants are initialized before static fields of
+	// the enum.
 	private static final class Pause {
 
-		/** How long an endpoint that said it is full gets nothing new from this VM. */
+		/**
+		 * How long this VM sends no new requests to an endpoint that reported being full.
+		 */
 		private static final long FULL_NANOS = 100_000_000L;
 
-		/** How long one that is leaving gets nothing, until the list says so too. */
+		/**
+		 * How long an endpoint that reported to be leaving gets no requests, until the
+		 * endpoint list shows it as well.
+		 */
 		private static final long LEAVING_NANOS = 3_000_000_000L;
 
 		private Pause() {
--- a/core/src/main/java/org/acaciacourse/core/balance/PartUse.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/PartUse.java
@@ -3,11 +3,11 @@
 import java.util.Objects;
 
 /**
- * A part of a prompt that an endpoint was sent.
+ * The use of a prompt part at an endpoint: a request with that part was sent to it.
  * <p>
  * Immutable and thread safe.
  *
- * @param endpoint the short name of the endpoint, {@link PeerLoads#idOf}
+ * @param endpoint the id of the endpoint, {@link PeerLoads#idOf}
  * @param part the part
  */
 public record PartUse(int endpoint, PromptShape.Part part) {
@@ -16,8 +16,8 @@
 		Objects.requireNonNull(part, "part");
 	}
 
-	// By hand, as the generated methods are put together at their first use: some tens of
-	// milliseconds, which callers wait for after a start.
+	// Written by hand: the generated methods are linked at their first use, which takes
+	// some tens of milliseconds and delays the first callers after a start.
 	@Override
 	public boolean equals(Object other) {
 		return this == other
--- a/core/src/main/java/org/acaciacourse/core/balance/PeerLoads.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/PeerLoads.java
@@ -10,29 +10,31 @@
 import net.openhft.hashing.LongHashFunction;
 
 /**
- * What the other entry VMs have under way at the endpoints, from the digests that they
- * send each other several times a second. What an endpoint tells of its load is late and
- * comes only with answers; without this each VM sees a part of the load only, and all of
- * them may send long prompts to one endpoint at the same moment.
+ * The load that the other entry VMs cause at the endpoints, from the digests that they
+ * exchange several times a second. Endpoints report their load late and only with
+ * answers. Without the digests each VM sees only a part of the load, and all VMs may send
+ * long prompts to the same endpoint at the same moment.
  * <p>
- * With many VMs a relay tells what all of them have under way; while there is such a view
- * it counts, and no digest does.
+ * With many VMs a relay sends a view of the load of all of them. While there is a view,
+ * the digests are ignored.
  * <p>
- * The state is soft: a digest that is lost is replaced by the next one, and what a VM
- * told counts no more once it is silent. Invariant: the sums are those of the latest
- * digests of all VMs that are kept.
+ * The state is soft: the next digest makes up for a lost one, and the load of a VM
+ * expires once it is silent. Invariant: the sums are those of the latest unexpired
+ * digests of all VMs.
  * <p>
  * Not thread safe: belongs to one event loop.
  */
 public final class PeerLoads {
 
-	/** VMs send at least twice in this time while they have anything under way. */
+	/** VMs with any load send at least two digests in this time. */
 	static final long EXPIRY_NANOS = 1_200_000_000L;
 
-	/** Some ten digests make the estimate of their pause. */
+	/** The average interval covers some ten digests. */
 	private static final double INTERVAL_WEIGHT = 0.1;
 
-	/** What a view tells passed from a VM to its relay, to another one and from there. */
+	/**
+	 * The load in a view travels from a VM to its relay, to another relay and from there.
+	 */
 	private static final int VIEW_HOPS = 3;
 
 	private static final LongHashFunction HASH = LongHashFunction.xx3();
@@ -41,7 +43,7 @@
 
 	private final LoadSums sums = new LoadSums();
 
-	/** The parts of the latest view; while there is one it counts in place of digests. */
+	/** The parts of the latest view, which replaces the digests while there is one. */
 	private final Map<Integer, Digest> view = new HashMap<>();
 
 	private final LoadSums viewSums = new LoadSums();
@@ -53,9 +55,9 @@
 	private double viewIntervalNanos;
 
 	/**
-	 * Return the short name of an endpoint in digests. Two endpoints of one name would
-	 * share their load, which only makes both look busier.
-	 * @param instance the instance
+	 * Return the id of an endpoint or a VM in digests. Two endpoints with the same id
+	 * would share their load, which only makes both look busier.
+	 * @param instance the instance or address
 	 * @return a hash of it
 	 */
 	public static int idOf(String instance) {
@@ -63,10 +65,10 @@
 	}
 
 	/**
-	 * Take a digest of what a VM has under way.
+	 * Process a digest with the load of one VM.
 	 * @param peer the VM that sent it
-	 * @param sequence its number; a VM that started again begins with a higher one
-	 * @param loads what the VM has under way
+	 * @param sequence its sequence number; a restarted VM starts with a higher one
+	 * @param loads the load of the VM
 	 * @param now the time
 	 */
 	public void receive(String peer, long sequence, List<Load> loads, long now) {
@@ -74,17 +76,17 @@
 	}
 
 	/**
-	 * Take a digest of what a VM has under way, or of what several have.
+	 * Process a digest with the load of one or several VMs.
 	 * @param peer the VM that sent it
-	 * @param digest the digest; a VM that started again begins with a higher number
+	 * @param digest the digest; a restarted VM starts with a higher sequence number
 	 * @param now the time
-	 * @return whether it is newer than what is known
+	 * @return whether it is newer than the previous one
 	 */
 	boolean receive(String peer, LoadDigest digest, long now) {
 		String key = peer + "#" + digest.part();
 		Digest before = this.digests.get(key);
 		if (before != null && digest.sequence() <= before.sequence()) {
-			// Datagrams overtake each other.
+			// Datagrams may arrive out of order.
 			return false;
 		}
 		if (before != null) {
@@ -104,12 +106,12 @@
 	}
 
 	/**
-	 * Take a view of what all VMs have under way.
+	 * Process a view of the load of all VMs.
 	 * @param relay the VM that sent it
 	 * @param digest the view
-	 * @param own what of this VM is in it
+	 * @param own the load of this VM that is included
 	 * @param now the time
-	 * @return whether it is newer than what is known
+	 * @return whether it is newer than the previous one
 	 */
 	boolean receiveView(String relay, LoadDigest digest, List<Load> own, long now) {
 		if (!this.viewRelay.equals(relay)) {
@@ -135,7 +137,7 @@
 		return true;
 	}
 
-	/** Forget the view: this VM makes one itself. */
+	/** Drop the view, when this VM becomes a relay and makes one itself. */
 	void dropView() {
 		this.view.values().forEach((part) -> this.viewSums.remove(part.loads()));
 		this.view.clear();
@@ -143,7 +145,7 @@
 	}
 
 	/**
-	 * Forget the VMs that are silent.
+	 * Drop the loads of VMs that are silent.
 	 * @param now the time
 	 */
 	public void forgetSilent(long now) {
@@ -163,8 +165,8 @@
 	}
 
 	/**
-	 * Return whether any other VM tells its load.
-	 * @return whether the sums stand for more than nothing
+	 * Return whether the load of any other VM is known.
+	 * @return whether there is a digest or a view
 	 */
 	public boolean isTold() {
 		return !this.digests.isEmpty() || !this.view.isEmpty();
@@ -174,7 +176,7 @@
 		return !this.view.isEmpty();
 	}
 
-	// The VMs that tell their load.
+	// The number of other VMs whose load is known.
 	int peerCount() {
 		return (hasView()) ? countVms(this.view.values()) - 1 : countVms(this.digests.values());
 	}
@@ -183,14 +185,14 @@
 		return digests.stream().mapToInt(Digest::vms).sum();
 	}
 
-	// Twice the usual age of what is known: the pause between two digests of a VM, or its
-	// like for what comes by way of relays.
+	// Twice the typical age of the data: the interval between two digests of a VM, or its
+	// equivalent for data that arrives through relays.
 	double intervalNanos() {
 		return (hasView()) ? VIEW_HOPS * this.viewIntervalNanos : this.intervalNanos;
 	}
 
 	/**
-	 * Return what the VMs have under way that tell this one.
+	 * Return the load of the other VMs.
 	 * @return the sums by endpoint
 	 */
 	List<Load> all() {
@@ -214,16 +216,16 @@
 	}
 
 	/**
-	 * What a VM has under way at an endpoint.
+	 * The load of a VM at an endpoint.
 	 *
-	 * @param endpoint the short name of the endpoint
-	 * @param inFlight its requests there
-	 * @param waitingWork the work of those whose prompt is not read yet
-	 * @param brief those of its requests whose target is among the shortest
+	 * @param endpoint the id of the endpoint
+	 * @param inFlight the number of its requests there
+	 * @param waitingWork the prefill work of those whose prompt is not prefilled yet
+	 * @param brief the number of its brief requests there
 	 */
 	public record Load(int endpoint, int inFlight, long waitingWork, int brief) {
-		// By hand, as the generated methods are put together at their first use: some
-		// tens of milliseconds, which callers wait for after a start.
+		// Written by hand: the generated methods are linked at their first use, which
+		// takes some tens of milliseconds and delays the first callers after a start.
 		@Override
 		public boolean equals(Object other) {
 			return this == other
--- a/core/src/main/java/org/acaciacourse/core/balance/PlacedRequest.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/PlacedRequest.java
@@ -1,12 +1,12 @@
 package org.acaciacourse.core.balance;
 
 /**
- * A request at an endpoint, from its choice to its end: what it adds to the endpoint's
- * load and what it tells of the endpoint's health. Invariant: each step counts once, so
- * that whatever order events come in, nothing of the request is left behind its end.
+ * A request at an endpoint, from its placement to its end: what it adds to the endpoint's
+ * load and what it shows of the endpoint's health. Invariant: each step counts once, so
+ * that whatever the order of events, the request leaves no load behind after its end.
  * <p>
- * It keeps to the load that it began with: an endpoint that is missing in one list and
- * there again in the next one is counted anew.
+ * The request keeps the {@link EndpointLoad} that it began with: an endpoint that
+ * disappears from the list and returns later gets a new one.
  * <p>
  * Not thread safe: belongs to the event loop of its {@link PoolBalancer}.
  */
@@ -50,15 +50,15 @@
 
 	/**
 	 * Return the work that waited at the endpoint when the request was sent.
-	 * @return the work in prompt tokens, that of the request included unless all others
-	 * go before it
+	 * @return the work in prompt tokens, including that of the request unless it is
+	 * deferred
 	 */
 	public long workAhead() {
 		return this.workAhead;
 	}
 
 	/**
-	 * Something came from the endpoint.
+	 * Record that data arrived from the endpoint.
 	 * @param now the time
 	 */
 	public void heard(long now) {
@@ -66,17 +66,17 @@
 	}
 
 	/**
-	 * Return when the endpoint was heard of last, on any connection.
-	 * @return the time, long ago if it was never heard of
+	 * Return when data last arrived from the endpoint, on any connection.
+	 * @return the time, far in the past if there was none
 	 */
 	public long heardAt() {
 		return this.load.lastActivityAt();
 	}
 
 	/**
-	 * The endpoint told its load.
-	 * @param running the requests that run
-	 * @param waiting the requests that wait
+	 * Record a load report of the endpoint.
+	 * @param running the number of running requests
+	 * @param waiting the number of waiting requests
 	 * @param now the time
 	 */
 	public void report(int running, int waiting, long now) {
@@ -84,9 +84,9 @@
 	}
 
 	/**
-	 * The first event of the answer came: the prompt is read to its end. Later events
-	 * change nothing.
-	 * @param elapsed nanoseconds from when the request was sent
+	 * Record the first event of the answer, which shows that the prompt is prefilled.
+	 * Later events have no effect.
+	 * @param elapsed nanoseconds since the request was sent
 	 */
 	public void streamBegan(long elapsed) {
 		if (this.streaming || this.ended) {
@@ -114,16 +114,16 @@
 	}
 
 	/**
-	 * Return whether an event of the answer came.
-	 * @return whether the prompt is read
+	 * Return whether an event of the answer arrived.
+	 * @return whether the prompt is prefilled
 	 */
 	public boolean isStreaming() {
 		return this.streaming;
 	}
 
 	/**
-	 * The request ended, with an answer or without one.
-	 * @param outcome what that tells of the endpoint
+	 * Record the end of the request, with an answer or without one.
+	 * @param outcome what the end shows of the endpoint
 	 * @param now the time
 	 */
 	public void end(Outcome outcome, long now) {
@@ -143,8 +143,8 @@
 	}
 
 	/**
-	 * Return the work that waits at the endpoint, of all VMs as far as they tell, with
-	 * that of this VM which others go before.
+	 * Return the work that waits at the endpoint for all VMs, including reported work and
+	 * this VM's deferred work.
 	 * @return the work in prompt tokens
 	 */
 	public long waitingWork() {
@@ -152,20 +152,20 @@
 	}
 
 	/**
-	 * Tell what is believed of the endpoint, for the log.
+	 * Return the estimated state of the endpoint, for the log.
 	 * @param now the time
-	 * @return the belief
+	 * @return the estimate
 	 */
 	public Belief belief(long now) {
 		return new Belief(this.load.running(now), this.load.waitingWork(), this.load.failureRate(now));
 	}
 
 	/**
-	 * What is believed of an endpoint.
+	 * The estimated state of an endpoint.
 	 *
-	 * @param running the requests there
-	 * @param waitingWork the work of those whose prompt is not read yet
-	 * @param failureRate the share of answers that fail, the latest ones counting most
+	 * @param running the number of requests there
+	 * @param waitingWork the prefill work of those whose prompt is not prefilled yet
+	 * @param failureRate the share of answers that fail, weighted towards the latest ones
 	 */
 	public record Belief(int running, long waitingWork, double failureRate) {
 	}
--- a/core/src/main/java/org/acaciacourse/core/balance/Placement.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/Placement.java
@@ -4,15 +4,17 @@
 import java.util.Set;
 
 /**
- * What a request asks of the {@link PoolBalancer}.
+ * A request that the {@link PoolBalancer} is asked to place.
  * <p>
  * Immutable and thread safe.
  *
  * @param shape the request's prompt
- * @param affinity whether requests with the same shared parts belong together
- * @param brief whether its target is among the shortest of the pool
- * @param salt a hash of the request, which decides between equal endpoints
- * @param excluded the instances that had their turn
+ * @param affinity whether requests with the same shared parts should go to the same
+ * endpoint
+ * @param brief whether the request is brief, that is, has one of the tightest latency
+ * targets of the pool
+ * @param salt a hash of the request, which breaks ties between endpoints
+ * @param excluded the instances that were tried already
  */
 public record Placement(PromptShape shape, boolean affinity, boolean brief, long salt, Set<String> excluded) {
 
--- a/core/src/main/java/org/acaciacourse/core/balance/PlacementCost.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/PlacementCost.java
@@ -3,8 +3,8 @@
 import net.openhft.hashing.LongHashFunction;
 
 /**
- * What it costs to put a request at an endpoint under a policy, in prompt tokens: what
- * the request waits there, and what those wait longer that are there.
+ * The cost of placing a request at an endpoint under a policy, in prompt tokens: how long
+ * the request waits there, and how much it delays the requests that are there.
  * <p>
  * Immutable and thread safe.
  */
@@ -12,7 +12,10 @@
 
 	private static final LongHashFunction HASH = LongHashFunction.xx3();
 
-	/** The work of a usual prompt, by which the requests that wait are estimated. */
+	/**
+	 * The prefill work of a typical prompt, by which the number of waiting requests is
+	 * estimated.
+	 */
 	private static final double TYPICAL_PROMPT_WORK = 10_000;
 
 	private final RoutingPolicy policy;
@@ -63,8 +66,8 @@
 	 * Return the cost of the load and the health of an endpoint, and of the work there.
 	 * @param load the endpoint
 	 * @param request the request
-	 * @param cached the tokens of the prompt that the endpoint holds
-	 * @param role what the endpoint is to the shared parts
+	 * @param cached the tokens of the prompt that the endpoint has in its cache
+	 * @param role the role of the endpoint for the shared parts
 	 * @param now the time
 	 * @return the cost
 	 */
@@ -74,10 +77,10 @@
 				+ failureCost(load, now) + tieBreak(load, request.salt());
 	}
 
-	// Reading a shared part for the first time can't be avoided. Where it does not belong
-	// it is read once more. Whatever is read delays all that wait there: when all queues
-	// are long, reading parts in many places makes them longer still, until engines do
-	// little else.
+	// Prefilling a shared part for the first time can't be avoided; away from its home it
+	// is prefilled once more. Any prefill delays all requests that wait there: when all
+	// queues are long, prefilling parts in many places makes them even longer, until
+	// engines do little else.
 	private double prefillCost(PromptShape shape, long cached, HomeRole role, long ahead) {
 		double requestsDelayed = ahead / TYPICAL_PROMPT_WORK;
 		return (recomputeFactor(role) + requestsDelayed) * shape.work(cached);
@@ -91,8 +94,8 @@
 		};
 	}
 
-	// A service with few slots is full with few requests: a request there costs as much
-	// as a full batch shared by its slots.
+	// An endpoint with few slots is full with few requests: there a running request costs
+	// as much as a waiting one divided by the number of slots.
 	private double runningCost(EndpointLoad load, long now) {
 		double slots = load.endpoint().slots();
 		int inFlight = load.running(now);
@@ -107,7 +110,7 @@
 	}
 
 	/**
-	 * Return the cost of putting a brief request where long prompts belong.
+	 * Return the cost of placing a brief request on an engine for long prompts.
 	 * @return the cost
 	 */
 	double briefElsewhereCost() {
@@ -115,7 +118,8 @@
 	}
 
 	/**
-	 * Return the cost of putting a prompt where brief requests belong.
+	 * Return the cost of placing another request on an engine that is reserved for brief
+	 * ones.
 	 * @param work the work on the prompt
 	 * @param harmless the work that makes no brief answer late
 	 * @return the cost
@@ -125,8 +129,8 @@
 	}
 
 	/**
-	 * Return the cost of putting a prompt beside brief answers that run.
-	 * @param brief the brief answers
+	 * Return the cost of the delay that a prompt causes to running brief answers.
+	 * @param brief the number of brief answers
 	 * @param work the work on the prompt
 	 * @param harmless the work that makes no brief answer late
 	 * @return the cost
@@ -143,8 +147,8 @@
 		return this.connectionCost;
 	}
 
-	// Below one token: VMs that know nothing of each other's requests should not all take
-	// the first of equal endpoints.
+	// Less than one token. Without it, VMs that know nothing of each other's requests
+	// would all choose the first of equal endpoints.
 	private static double tieBreak(EndpointLoad load, long salt) {
 		long mixed = HASH.hashLong(salt ^ load.hash());
 		return (mixed >>> 11) * 0x1.0p-53;
--- a/core/src/main/java/org/acaciacourse/core/balance/PlacementQueue.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/PlacementQueue.java
@@ -7,8 +7,8 @@
 import java.util.TreeSet;
 
 /**
- * The requests of one pool that wait for an endpoint, the most urgent first and among
- * equals the one whose target passes first. Invariant: an item waits once.
+ * The requests of one pool that wait for an endpoint, ordered by urgency and then by the
+ * time of their target. Invariant: an item is queued at most once.
  * <p>
  * Not thread safe: belongs to one event loop.
  *
@@ -25,10 +25,10 @@
 	private long number;
 
 	/**
-	 * Add an item, unless it waits already.
+	 * Add an item, unless it is queued already.
 	 * @param item the item
 	 * @param urgency its rank, 0 is the highest
-	 * @param dueAt when its target passes
+	 * @param dueAt the time of its target
 	 */
 	public void add(T item, int urgency, long dueAt) {
 		if (!this.waiting.containsKey(item)) {
@@ -39,7 +39,7 @@
 	}
 
 	/**
-	 * Remove an item, if it waits.
+	 * Remove an item, if it is queued.
 	 * @param item the item
 	 */
 	public void remove(T item) {
@@ -50,15 +50,15 @@
 	}
 
 	/**
-	 * Return the items in their order.
-	 * @return a copy, so that items may be removed meanwhile
+	 * Return the items in order.
+	 * @return a copy, so that items may be removed during iteration
 	 */
 	public List<T> inOrder() {
 		return this.order.stream().map(Waiting::item).toList();
 	}
 
 	/**
-	 * Return how many items wait.
+	 * Return the number of queued items.
 	 * @return the number
 	 */
 	public int size() {
--- a/core/src/main/java/org/acaciacourse/core/balance/PoolBalancer.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/PoolBalancer.java
@@ -12,31 +12,33 @@
 import org.acaciacourse.core.route.FleetEndpoint;
 
 /**
- * Chooses endpoints of one pool. The cost of an endpoint is what a request waits there by
- * what is known, in prompt tokens: the prompts that this VM has it read already, the
- * requests that run there, and the shared parts of the prompt if the endpoint does not
- * hold them. Which ones hold them follows from what all entry VMs had them read
- * ({@link PrefixCacheModel}). A part that none holds goes to the endpoint that rendezvous
- * hashing (Thaler and Ravishankar, 1998) names, so that all entry VMs send it to the same
- * one without a word between them; the others get it only when those queues cost more
- * than reading the shared part anew.
+ * Chooses endpoints of one pool. The cost of an endpoint is the estimated wait of a
+ * request there, in prompt tokens: the prompts that are not prefilled yet, the requests
+ * that run there, and the shared parts of the prompt if the endpoint does not have them
+ * in its cache. The cache contents are derived from the requests of all entry VMs
+ * ({@link PrefixCacheModel}). A part that no endpoint has goes to its home by rendezvous
+ * hashing (Thaler and Ravishankar, 1998), so that all entry VMs send it to the same
+ * endpoint without coordination. Other endpoints get it only when the queues of its homes
+ * cost more than prefilling it again.
  * <p>
  * Not thread safe: belongs to one event loop.
  */
 public final class PoolBalancer {
 
 	/**
-	 * Uses of parts that wait to be told; more than a VM sends between two digests. A VM
-	 * that is alone tells nobody.
+	 * Bounds the uses of parts that wait to be reported: more than a VM sends between two
+	 * digests. A VM without peers reports to nobody.
 	 */
 	private static final int MAX_UNREPORTED_USES = 64;
 
-	/** The longest pause between events that routes of today aim for. */
+	/**
+	 * The default target gap: the longest gap between events that current routes aim for.
+	 */
 	private static final long DEFAULT_GAP_MILLIS = 150;
 
 	private final Map<String, EndpointLoad> loads = new HashMap<>();
 
-	/** Under the short names of digests, of which one comes for every few requests. */
+	/** By the ids in digests, of which one arrives for every few requests. */
 	private final Map<Integer, EndpointLoad> byId = new HashMap<>();
 
 	private final PeerLoads peers;
@@ -67,8 +69,8 @@
 
 	/**
 	 * Make a balancer.
-	 * @param peers what the other entry VMs have under way
-	 * @param connected tells whether an idle connection to an instance is kept
+	 * @param peers the load of the other entry VMs
+	 * @param connected tells whether there is an idle connection to an instance
 	 */
 	public PoolBalancer(PeerLoads peers, Predicate<String> connected) {
 		this.peers = peers;
@@ -78,7 +80,7 @@
 	}
 
 	/**
-	 * Set how the balancer decides from now on.
+	 * Set the policy.
 	 * @param next the policy
 	 */
 	public void policy(RoutingPolicy next) {
@@ -93,16 +95,16 @@
 	}
 
 	/**
-	 * Return what this VM has under way.
-	 * @return the load at each endpoint where there is any
+	 * Return the load of this VM.
+	 * @return the load at each endpoint that has any
 	 */
 	public List<PeerLoads.Load> own() {
 		return this.loads.values().stream().filter((load) -> load.inFlight() > 0).map(EndpointLoad::localLoad).toList();
 	}
 
 	/**
-	 * Set the size of the memory of the pool's engines.
-	 * @param capacity the tokens that each holds
+	 * Set the cache capacity of the pool's engines.
+	 * @param capacity the tokens that each engine can hold
 	 */
 	public void engineTokens(long capacity) {
 		this.engineCacheTokens = capacity;
@@ -110,8 +112,8 @@
 	}
 
 	/**
-	 * Set the shortest pause between events that a route of the pool aims for.
-	 * @param millis the pause
+	 * Set the shortest gap between events that a route of the pool aims for.
+	 * @param millis the gap
 	 */
 	public void shortestGap(long millis) {
 		this.shortestGapMillis = millis;
@@ -119,7 +121,7 @@
 	}
 
 	/**
-	 * Take the endpoints of the pool from the fleet.
+	 * Set the endpoints of the pool.
 	 * @param endpoints the endpoints
 	 */
 	public void endpoints(List<FleetEndpoint> endpoints) {
@@ -149,8 +151,9 @@
 	}
 
 	/**
-	 * Bound the requests of this VM at one endpoint, each of which takes a connection.
-	 * @param max the most requests at a time
+	 * Bound the concurrent requests of this VM at one endpoint, each of which takes a
+	 * connection.
+	 * @param max the maximum number of requests
 	 */
 	public void connectionsEach(int max) {
 		this.maxConnectionsPerEndpoint = Math.max(1, max);
@@ -158,7 +161,7 @@
 
 	/**
 	 * Choose an endpoint.
-	 * @param request what the request asks
+	 * @param request the request to place
 	 * @param now the time
 	 * @return the endpoint, or nothing if none may get the request now
 	 */
@@ -179,7 +182,8 @@
 					: otherDraw.isNextDrawn();
 			long cached = load.prefixCache().cachedTokens(request.shape());
 			boolean alwaysCompared = cached == shared || homes.contains(load);
-			// The endpoints that hold the shared parts are few, and compared in any case.
+			// Few endpoints have the shared parts in their cache, so these are always
+			// compared.
 			if (drawn || (alwaysCompared && shared > 0)) {
 				double cost = cost(load, request, cached, homes.role(load, cached == shared), now);
 				if (cost < bestCost) {
@@ -206,7 +210,8 @@
 				? samplerFor(request).share(this.policy.value(RoutingParameter.UNTOLD_REQUESTS), now) : 1;
 	}
 
-	// Both kinds have endpoints of their own, where only their own is untold.
+	// Brief and other requests use different endpoints, so each kind counts only its own
+	// unreported requests.
 	private CandidateSampler samplerFor(Placement request) {
 		return (request.brief()) ? this.briefSampler : this.otherSampler;
 	}
@@ -226,8 +231,8 @@
 		return this.briefEngines.isDivided() && request.shape().promptTokens() > 0;
 	}
 
-	// An engine reads a prompt between the tokens of all that run there: a long one makes
-	// each brief answer beside it late by its gap alone.
+	// An engine prefills prompts between the tokens of all its running answers: a long
+	// prompt delays the events of each brief answer beyond their target gap.
 	private double mixingCost(EndpointLoad load, Placement request, long cached) {
 		boolean forBrief = this.briefEngines.contains(load);
 		if (request.brief()) {
@@ -253,9 +258,9 @@
 	}
 
 	/**
-	 * Return whether waiting for an endpoint is in vain.
-	 * @param excluded the instances that had their turn
-	 * @return whether there are endpoints and all had it
+	 * Return whether all endpoints were tried, so that waiting for one is useless.
+	 * @param excluded the instances that were tried already
+	 * @return whether there are staying endpoints and all of them were tried
 	 */
 	public boolean isExhausted(Set<String> excluded) {
 		List<EndpointLoad> staying = this.loads.values().stream().filter((load) -> !load.endpoint().leaving()).toList();
@@ -269,10 +274,10 @@
 	}
 
 	/**
-	 * A request is sent.
+	 * Record that a request is sent.
 	 * @param instance the endpoint that was chosen, still in the pool
-	 * @param request what the request asks
-	 * @param turn when the endpoint turns to it
+	 * @param request the request
+	 * @param turn its position in the queue of the endpoint
 	 * @param now the time
 	 * @return the request there
 	 */
@@ -294,8 +299,8 @@
 	}
 
 	/**
-	 * Another entry VM had an endpoint use a part of a prompt.
-	 * @param use what it tells
+	 * Record a use of a prompt part that another entry VM reported.
+	 * @param use the use
 	 */
 	public void told(PartUse use) {
 		EndpointLoad load = this.byId.get(use.endpoint());
@@ -305,7 +310,8 @@
 	}
 
 	/**
-	 * Take the uses that the other entry VMs do not know of yet.
+	 * Remove and return the uses of prompt parts that are not yet reported to the other
+	 * entry VMs.
 	 * @return the uses since the last call
 	 */
 	public List<PartUse> takeUntold() {
@@ -315,11 +321,11 @@
 	}
 
 	/**
-	 * Return whether a prompt would be read too late at an endpoint.
+	 * Return whether a prompt would be prefilled too late at an endpoint.
 	 * @param instance its instance
 	 * @param shape the prompt
 	 * @param remaining nanoseconds until the first event is due
-	 * @return whether what waits there takes longer, by what is known
+	 * @return whether the work that is known to wait there takes longer
 	 */
 	public boolean isLate(String instance, PromptShape shape, long remaining) {
 		if (!this.policy.isOn(RoutingMechanism.DEFERRAL)) {
@@ -332,8 +338,8 @@
 	}
 
 	/**
-	 * Tell how the pool is divided, for the log.
-	 * @return the division, if there are endpoints enough
+	 * Return how the pool is divided, for the log.
+	 * @return the division, if there are enough endpoints
 	 */
 	public Optional<Division> division() {
 		return Optional.of(this.briefEngines.division()).filter((told) -> told.engines() > 0);
@@ -344,10 +350,10 @@
 	}
 
 	/**
-	 * The part of the engines that is for requests whose target is the shortest.
+	 * The engines that are reserved for brief requests.
 	 *
-	 * @param engines how many engines
-	 * @param running such requests that run at all entries
+	 * @param engines the number of reserved engines
+	 * @param running the number of brief requests that run at all entry VMs
 	 * @param waitingWork the work that waits at each of the other engines
 	 */
 	public record Division(int engines, int running, long waitingWork) {
--- a/core/src/main/java/org/acaciacourse/core/balance/PrefillRate.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/PrefillRate.java
@@ -1,44 +1,44 @@
 package org.acaciacourse.core.balance;
 
 /**
- * How fast the engines of a pool read what waits there, learnt from the requests that had
- * to wait: the work ahead of each by the time to its first event. More urgent work that
- * comes later, full batches and slow engines all show in it.
+ * The rate at which the engines of a pool prefill prompts, learned from requests that had
+ * to wait: the work ahead of each divided by the time to its first event. It includes the
+ * effect of more urgent work that arrives later, of full batches and of slow engines.
  * <p>
  * Not thread safe: belongs to one {@link PoolBalancer}.
  */
 final class PrefillRate {
 
 	/**
-	 * Tokens in a millisecond, until enough was seen: engines of today read some 60, half
-	 * of that in a full batch. With the lower end prompts of the first seconds of a burst
-	 * are taken for late that would be in time.
+	 * Tokens per millisecond before there are enough observations. Current engines
+	 * prefill some 60, half of that with a full batch. With the lower figure, prompts in
+	 * the first seconds of a burst would be considered late though they would be on time.
 	 */
 	private static final double DEFAULT_TOKENS_PER_MILLI = 45;
 
 	/**
-	 * Shorter waits tell of the steps of the batch, not of reading: a step takes some ten
-	 * milliseconds and reads a few hundred tokens.
+	 * Shorter waits depend on the duration of a batch step rather than on the prefill
+	 * rate: a step takes some ten milliseconds and prefills a few hundred tokens.
 	 */
 	private static final long MIN_WORK = 5_000;
 
 	/**
-	 * Some ten requests that waited make the estimate. A VM sees a few in a second, and a
-	 * burst, or the loss of an engine, changes the pace at once.
+	 * The average covers some ten requests that waited. A VM observes a few per second,
+	 * and a burst or the loss of an engine changes the rate immediately.
 	 */
 	private static final double SMOOTHING_WEIGHT = 0.15;
 
-	/** One wait can't move the estimate by more than this part of it. */
+	/** A single observation changes the estimate by at most this fraction. */
 	private static final double MAX_STEP = 0.045;
 
-	/** The estimate stays within this factor of the usual pace. */
+	/** The estimate stays within this factor of the default rate. */
 	private static final double MAX_FACTOR = 4;
 
 	private double tokensPerMilli = DEFAULT_TOKENS_PER_MILLI;
 
 	/**
-	 * A prompt was read.
-	 * @param workAhead the work that waited when it was sent, with its own
+	 * Record that a prompt was prefilled.
+	 * @param workAhead the work that waited when it was sent, including its own
 	 * @param elapsed nanoseconds from then to its first event
 	 */
 	void observe(long workAhead, long elapsed) {
@@ -53,7 +53,7 @@
 	}
 
 	/**
-	 * Return how long work takes.
+	 * Return the estimated time for some work.
 	 * @param work the work in prompt tokens
 	 * @return nanoseconds
 	 */
--- a/core/src/main/java/org/acaciacourse/core/balance/PrefixCacheModel.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/PrefixCacheModel.java
@@ -5,24 +5,24 @@
 import java.util.Map;
 
 /**
- * The shared parts of prompts that one engine is likely to hold, from what all entry VMs
- * had it read. Follows the rule of the engines themselves: the part that was used least
- * recently makes room. Without the uses of the other entries a part that one of them had
- * read elsewhere is read a third and a fourth time.
+ * The shared prompt parts that one engine is likely to have in its cache, derived from
+ * the requests of all entry VMs. It evicts the least recently used part, as the engines
+ * do. Without the uses at the other entry VMs, a part that one of them had prefilled
+ * elsewhere would be prefilled a third and a fourth time.
  * <p>
- * Invariant: the parts held never exceed the capacity together, unless a single one does.
+ * Invariant: the parts together never exceed the capacity, unless there is only one.
  * <p>
  * Not thread safe: belongs to one {@link EndpointLoad}.
  */
 final class PrefixCacheModel {
 
 	/**
-	 * The part of an engine's memory that is left for shared parts beside the requests
-	 * that run: a full batch of common prompts takes about half of it.
+	 * The fraction of an engine's cache that is left for shared parts besides the running
+	 * requests: a full batch of common prompts takes about half of it.
 	 */
 	private static final double SHARED_PREFIX_FRACTION = 0.5;
 
-	/** Engines of today hold this many tokens or more; until the size is told. */
+	/** Current engines hold at least this many tokens. Used until the capacity is set. */
 	private static final long DEFAULT_ENGINE_TOKENS = 400_000;
 
 	private final Map<Long, Long> tokensByPart = new LinkedHashMap<>(16, 0.75f, true);
@@ -32,8 +32,8 @@
 	private long tokens;
 
 	/**
-	 * Set the size of the engine's memory.
-	 * @param tokens the tokens that it holds, with those of running requests
+	 * Set the capacity of the engine's cache.
+	 * @param tokens the tokens that it can hold, including those of running requests
 	 */
 	void engineCacheTokens(long tokens) {
 		this.capacity = (long) (tokens * SHARED_PREFIX_FRACTION);
@@ -41,11 +41,12 @@
 	}
 
 	/**
-	 * The engine reads or uses a part.
+	 * Record that the engine prefills or uses a part.
 	 * @param part the part
 	 */
 	void recordUse(PromptShape.Part part) {
-		// Callers and datagrams tell the size: a wrong one must not spoil the sum.
+		// The size comes from callers and datagrams: an invalid one must not corrupt the
+		// sum.
 		long size = Math.max(0, Math.min(this.capacity, part.tokens()));
 		Long before = this.tokensByPart.put(part.id(), size);
 		this.tokens += size - ((before != null) ? before : 0);
@@ -61,10 +62,10 @@
 	}
 
 	/**
-	 * Return how much of a prompt need not be read: an engine goes on after the first
-	 * parts that it holds.
+	 * Return how much of a prompt need not be prefilled: an engine reuses the longest run
+	 * of leading parts that is cached.
 	 * @param shape the prompt
-	 * @return the tokens of the leading shared parts that are held
+	 * @return the tokens of the leading shared parts that are cached
 	 */
 	long cachedTokens(PromptShape shape) {
 		long cached = 0;
@@ -78,7 +79,7 @@
 		return cached;
 	}
 
-	/** The engine started again: it holds nothing. */
+	/** Empty the model, after a restart of the engine. */
 	void clear() {
 		this.tokensByPart.clear();
 		this.tokens = 0;
--- a/core/src/main/java/org/acaciacourse/core/balance/PromptShape.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/PromptShape.java
@@ -8,14 +8,14 @@
  * Immutable and thread safe.
  *
  * @param promptTokens the tokens of the prompt, 0 if unknown
- * @param outputTokens the most tokens of the answer, 0 if unknown
+ * @param outputTokens the maximum number of tokens of the answer, 0 if unknown
  * @param parts the parts of the prompt in order; the last one is the request's own
  */
 public record PromptShape(long promptTokens, long outputTokens, List<Part> parts) {
 
 	/**
-	 * After how many tokens comparing a token with all before it takes as long as the
-	 * rest of the work on it; of the order of what engines of today show.
+	 * The number of preceding tokens at which attention takes as long as the rest of the
+	 * work on a token; of the order of what current engines show.
 	 */
 	private static final double TOKENS_PER_COMPARISON = 31_000;
 
@@ -27,7 +27,7 @@
 	}
 
 	/**
-	 * Return the parts that an engine may hold from requests before.
+	 * Return the parts that an engine may have cached from earlier requests.
 	 * @return all parts but the last
 	 */
 	public List<Part> sharedParts() {
@@ -35,11 +35,11 @@
 	}
 
 	/**
-	 * Return the tokens that an engine may hold from requests before.
+	 * Return the tokens that an engine may have cached from earlier requests.
 	 * @return the tokens of all parts but the last
 	 */
 	public long sharedTokens() {
-		// Asked for each engine at each placement: a stream would cost more than the
+		// Called for each engine at each placement: a stream would cost more than the
 		// rest.
 		long tokens = 0;
 		for (int i = 0; i < this.parts.size() - 1; i++) {
@@ -49,10 +49,10 @@
 	}
 
 	/**
-	 * Return what an engine has to do to read the prompt, in tokens of a short prompt.
-	 * Each token is compared with all before it, so that the work grows faster than the
+	 * Return the prefill work on the prompt, in tokens of a short prompt. Attention
+	 * compares each token with all preceding ones, so that the work grows faster than the
 	 * prompt.
-	 * @param cached the tokens that the engine holds already
+	 * @param cached the tokens that the engine has in its cache
 	 * @return the work
 	 */
 	public long work(long cached) {
@@ -62,7 +62,7 @@
 	}
 
 	/**
-	 * Return what requests with the same shared parts have in common.
+	 * Return an id that requests with the same shared parts have in common.
 	 * @return the id of the last shared part, 0 if nothing is shared
 	 */
 	public long sharedId() {
@@ -73,7 +73,7 @@
 	 * A part of a prompt.
 	 *
 	 * @param id its id
-	 * @param tokens its tokens
+	 * @param tokens its number of tokens
 	 */
 	public record Part(long id, long tokens) {
 
@@ -83,8 +83,8 @@
 			}
 		}
 
-		// By hand, as the generated methods are put together at their first use: some
-		// tens of milliseconds, which callers wait for after a start.
+		// Written by hand: the generated methods are linked at their first use, which
+		// takes some tens of milliseconds and delays the first callers after a start.
 		@Override
 		public boolean equals(Object other) {
 			return this == other || (other instanceof Part that && this.id == that.id && this.tokens == that.tokens);
--- a/core/src/main/java/org/acaciacourse/core/balance/RelaySelector.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/RelaySelector.java
@@ -15,30 +15,28 @@
 import net.openhft.hashing.LongHashFunction;
 
 /**
- * Which entry VM sums the loads of a group up. The VMs of a data centre are a group, a
- * large data centre is divided into several. The relay of a group is the first of its VMs
- * by rendezvous hashing that answers its reports. VMs whose lists of one another differ
- * for a while choose different relays, which costs messages and nothing else: whoever
- * gets reports sums them up.
+ * Selects the entry VM that aggregates the loads of a group. The VMs of a data centre
+ * form a group, and a large data centre is divided into several. The relay of a group is
+ * the first of its VMs in the order of rendezvous hashing that answers reports. VMs whose
+ * member lists differ for a while select different relays, which costs messages but does
+ * no harm: any VM that receives reports aggregates them.
  * <p>
  * Not thread safe: belongs to one {@link LoadExchange}.
  */
 final class RelaySelector {
 
-	/** Bounds what a relay receives and sends. */
+	/** Bounds the number of messages that a relay receives and sends. */
 	static final int MAX_GROUP_SIZE = 24;
 
-	/**
-	 * How long a relay may be silent to those that report to it: three views.
-	 */
+	/** How long a relay may send nothing to the VMs that report to it: three views. */
 	static final long RELAY_TIMEOUT_NANOS = 600_000_000L;
 
-	/** How long a silent relay is passed over: longer than most VMs are frozen. */
+	/** How long a silent relay is not selected: longer than most pauses of a VM. */
 	static final long EXCLUSION_NANOS = 3_000_000_000L;
 
 	private static final long PROBE_INTERVAL_NANOS = 500_000_000L;
 
-	/** The preferred relay of a group and the one that stands in for it. */
+	/** The preferred relay of a group and its first substitute. */
 	private static final int PROBED_PER_GROUP = 2;
 
 	private static final LongHashFunction HASH = LongHashFunction.xx3();
@@ -54,7 +52,7 @@
 
 	private final Map<String, Long> summaryReceivedAt = new HashMap<>();
 
-	/** Since when no relay of a group was heard. */
+	/** The time since which no relay of a group was heard from. */
 	private final Map<String, Long> withoutRelaySince = new HashMap<>();
 
 	private long probedAt;
@@ -68,8 +66,8 @@
 	}
 
 	/**
-	 * Take the VMs that are live.
-	 * @param peers all of them, with or without this VM
+	 * Set the live VMs.
+	 * @param peers the VMs, with or without this one
 	 */
 	void peers(List<LoadPeer> peers) {
 		Set<LoadPeer> all = new LinkedHashSet<>(peers);
@@ -98,7 +96,7 @@
 	}
 
 	/**
-	 * Find the relay of the own group.
+	 * Find the relay of this VM's group.
 	 * @param now the time
 	 * @return its address, nothing if it is this VM
 	 */
@@ -128,8 +126,8 @@
 	}
 
 	/**
-	 * A view came.
-	 * @param sender who sent it
+	 * Record that a view arrived.
+	 * @param sender its sender
 	 * @param now the time
 	 * @return whether the sender is the relay that this VM reports to
 	 */
@@ -142,8 +140,8 @@
 	}
 
 	/**
-	 * A summary came: its sender is a relay.
-	 * @param sender who sent it
+	 * Record that a summary arrived, which shows that its sender is a relay.
+	 * @param sender its sender
 	 * @param now the time
 	 */
 	void summaryReceived(String sender, long now) {
@@ -152,15 +150,14 @@
 		}
 	}
 
-	// A relay that was silent for a while wakes up and has no reports: it must hear of
-	// the one that stands in for it.
+	// A relay that resumes after a pause has no reports: it must learn of its substitute.
 	private List<String> rankedAboveSelf() {
 		List<String> own = this.groups.get(this.groupOf.get(this.self.address()));
 		return own.subList(0, own.indexOf(this.self.address()));
 	}
 
-	// Relays that were out of contact and those that stood in for them would each know
-	// only their like.
+	// Relays that were disconnected and their substitutes would otherwise each know only
+	// the relays on their own side.
 	private List<String> probeTargets(long now) {
 		if (now - this.probedAt < PROBE_INTERVAL_NANOS) {
 			return List.of();
@@ -170,9 +167,9 @@
 	}
 
 	/**
-	 * Return the relays that a relay tells its summary: those that were heard lately, now
-	 * and then the preferred ones of each group, and of a group without any that was
-	 * heard its VMs in turn.
+	 * Return the relays that receive the summary of a relay: those recently heard from,
+	 * at intervals the preferred ones of each group, and for a group without a known
+	 * relay its VMs in turn.
 	 * @param now the time
 	 * @return their addresses
 	 */
--- a/core/src/main/java/org/acaciacourse/core/balance/RetryAllowance.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/RetryAllowance.java
@@ -5,29 +5,30 @@
 import java.util.OptionalInt;
 
 /**
- * The part of a retry budget that one process may spend on one pool. All entry VMs share
- * the budget without a word on the path of a request, so the parts must add up to no more
- * than the whole for any number of processes, whenever they start and end and wherever
- * the callers go.
+ * The share of a retry budget that one process may spend on one pool. All entry VMs share
+ * the budget without coordination on the request path, so the shares must add up to no
+ * more than the budget for any number of processes, whenever they start and end and
+ * wherever the callers go.
  * <p>
- * Invariant: in any span of the window's length the retries are at most what the requests
- * of that same span earn, plus a burst, which is this VM's part of the minimum. Requests
- * of an earlier span earn nothing: the callers may have moved to another VM, which earns
- * from them as well. A process that started within the window has no burst, as the one
- * before it on this VM may have spent it. A margin of a tenth covers that spans seen by
- * an observer of all VMs include requests and retries that were on their way.
+ * Invariant: in any time span of the window's length the retries are at most what the
+ * requests of that same span earn, plus a burst, which is this VM's share of the minimum.
+ * Requests of an earlier span earn nothing: the callers may have moved to another VM,
+ * which earns from them as well. A process that started within the window has no burst,
+ * as its predecessor on this VM may have spent it. A margin of a tenth allows for
+ * requests and retries in transit at the edges of a span, as seen by an observer of all
+ * VMs.
  * <p>
- * The sum of all VMs is within the budget as long as there are no more VMs than the
+ * The sum over all VMs is within the budget as long as there are no more VMs than the
  * minimum has retries: a burst is never less than one retry.
  * <p>
  * Not thread safe: belongs to one event loop. Times never go back.
  */
 public final class RetryAllowance {
 
-	/** The part of the budget that is used. */
+	/** The fraction of the budget that is used. */
 	private static final double MARGIN = 0.9;
 
-	/** With less no retry would ever be permitted. */
+	/** With less than one no retry would ever be permitted. */
 	private static final double MIN_BURST = 1;
 
 	private final long startedAt;
@@ -38,12 +39,12 @@
 
 	private final double minimum;
 
-	/** The debt just before events of the window, the lowest first. */
+	/** The debt just before each event in the window, in ascending order of debt. */
 	private final Deque<Mark> marks = new ArrayDeque<>();
 
 	private double burst = MIN_BURST;
 
-	/** Retries since the start, less what all requests since then earned. */
+	/** The retries since the start minus what all requests since then earned. */
 	private double debt;
 
 	private int reserved;
@@ -53,8 +54,8 @@
 	 * @param startedAt when the process started
 	 * @param windowNanos the length of the window
 	 * @param ratio retries for each request in a window
-	 * @param minimum retries that are permitted in a window whatever the requests are, of
-	 * all VMs together
+	 * @param minimum retries that are permitted in a window whatever the requests are,
+	 * for all VMs together
 	 */
 	public RetryAllowance(long startedAt, long windowNanos, double ratio, double minimum) {
 		this.startedAt = startedAt;
@@ -65,14 +66,14 @@
 
 	/**
 	 * Set how many entry VMs share the budget.
-	 * @param count the number of VMs, empty if it is not known
+	 * @param count the number of VMs, empty if unknown
 	 */
 	public void sharers(OptionalInt count) {
 		this.burst = (count.isPresent()) ? Math.max(MIN_BURST, MARGIN * this.minimum / count.getAsInt()) : MIN_BURST;
 	}
 
 	/**
-	 * Note a request for the pool.
+	 * Record a request for the pool.
 	 * @param now the time
 	 */
 	public void request(long now) {
@@ -80,7 +81,7 @@
 	}
 
 	/**
-	 * Return whether a retry is within the budget and not reserved.
+	 * Return whether there is a retry in the budget that is not reserved.
 	 * @param now the time
 	 * @return whether one may be reserved
 	 */
@@ -89,7 +90,7 @@
 	}
 
 	/**
-	 * Return how many retries the budget permits beside the reserved ones.
+	 * Return how many retries the budget permits besides the reserved ones.
 	 * @param now the time
 	 * @return the number, of which only whole ones can be spent
 	 */
@@ -100,7 +101,7 @@
 	/**
 	 * Return what is left of the budget.
 	 * @param now the time
-	 * @return the number of retries, reserved ones included
+	 * @return the number of retries, including reserved ones
 	 */
 	public double balance(long now) {
 		expire(now);
@@ -111,7 +112,7 @@
 	}
 
 	/**
-	 * Reserve a retry for a request that waits or connects, so that no other one counts
+	 * Reserve a retry for a request that waits or connects, so that no other one relies
 	 * on it. Each reservation is either spent or released.
 	 * @param now the time
 	 * @return whether the budget permits it
@@ -122,14 +123,14 @@
 		return permitted;
 	}
 
-	/** Give a reservation back: the request is not sent again. */
+	/** Release a reservation when the request is not sent again. */
 	public void release() {
 		this.reserved--;
 	}
 
 	/**
-	 * Spend a reserved retry on a request that is sent now. The part of this VM may have
-	 * become smaller since the reservation.
+	 * Spend a reserved retry on a request that is sent now. The share of this VM may have
+	 * shrunk since the reservation.
 	 * @param now the time
 	 * @return whether the budget still permits it; if not, the reservation is released
 	 */
@@ -142,8 +143,8 @@
 		return permitted;
 	}
 
-	// Of two moments the later one with the lower debt bounds the retries for longer and
-	// by more: the earlier one is not needed.
+	// Of two marks the later one with the lower debt is the stricter bound and expires
+	// later, so the earlier one is not needed.
 	private void add(double change, long now) {
 		expire(now);
 		while (!this.marks.isEmpty() && this.marks.getLast().debt() >= this.debt) {
--- a/core/src/main/java/org/acaciacourse/core/balance/RoutingMechanism.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/RoutingMechanism.java
@@ -4,77 +4,81 @@
 import java.util.Optional;
 
 /**
- * The mechanisms of the routed path that a policy may switch off, each with what it is
- * for. All are on by default.
+ * The mechanisms of request routing that a policy may switch off. All are on by default.
  * <p>
  * Immutable and thread safe.
  */
 public enum RoutingMechanism {
 
-	/** Entries tell one another what they have under way at each endpoint. */
+	/** Entry VMs exchange digests of the load that they cause at each endpoint. */
 	LOAD_DIGESTS("load-digests"),
 
-	/** Entries tell one another which parts of prompts an endpoint has read. */
+	/** Entry VMs report to each other which prompt parts an endpoint has prefilled. */
 	PARTS_TOLD("parts-told", LOAD_DIGESTS),
 
-	/** Fewer endpoints are compared for a request, the older what is known of them. */
+	/**
+	 * The older the information about the endpoints, the fewer are compared for a
+	 * request.
+	 */
 	SAMPLED_CHOICE("sampled-choice"),
 
-	/** A part that no endpoint holds is read first at the one that a hash names. */
+	/**
+	 * A part that no endpoint has cached is first prefilled at its home, named by a hash.
+	 */
 	HOME_OF_PARTS("home-of-parts"),
 
 	/**
-	 * A second endpoint reads a part for which the queue of the first one is long.
-	 * Without {@link #HOME_OF_PARTS} there is neither.
+	 * A second endpoint prefills a part if the queue at its home is long. Has no effect
+	 * without {@link #HOME_OF_PARTS}.
 	 */
 	SECOND_HOME("second-home"),
 
-	/** Reading a part where others hold it costs a multiple of its work. */
+	/** Prefilling a part again that others have cached costs a multiple of its work. */
 	PRICE_OF_READING_ANEW("price-of-reading-anew"),
 
 	/** Endpoints whose answers fail are avoided. */
 	PRICE_OF_FAILURES("price-of-failures"),
 
-	/** Among equals the endpoint is taken that an idle connection leads to. */
+	/** Among equal endpoints, one with an idle connection is preferred. */
 	PRICE_OF_CONNECTIONS("price-of-connections"),
 
-	/** An endpoint that was lost or full gets nothing for a while. */
+	/** An endpoint that was lost or full gets no requests for a while. */
 	PAUSES("pauses"),
 
-	/** An endpoint whose answers all stopped in the middle is avoided. */
+	/** An endpoint whose answers all stalled is avoided. */
 	SUSPECTS("suspects"),
 
-	/** An attempt that nothing is heard of is replaced by one elsewhere. */
+	/** An attempt from which nothing arrives is replaced by one at another endpoint. */
 	REPLACED_ATTEMPTS("replaced-attempts"),
 
-	/** Some engines are for the requests whose target is the shortest. */
+	/** Some engines are reserved for requests with the tightest latency target. */
 	BRIEF_ENGINES("brief-engines"),
 
 	/** The number of engines for brief requests follows the load. */
 	BRIEF_ENGINES_FOLLOW_LOAD("brief-engines-follow-load", BRIEF_ENGINES),
 
-	/** The next engine stands in for one for brief requests that is lost. */
+	/** A lost engine for brief requests is replaced by the next one. */
 	BRIEF_STAND_INS("brief-stand-ins", BRIEF_ENGINES),
 
-	/** Short prompts of others may go to the engines for brief requests. */
+	/** Short prompts of other requests may use the engines for brief requests. */
 	SHORT_BESIDE_BRIEF("short-beside-brief", BRIEF_ENGINES),
 
-	/** A prompt that makes running brief answers late costs something for each. */
+	/** A prompt that makes running brief answers late incurs a cost for each of them. */
 	PRICE_OF_LATE_ANSWERS("price-of-late-answers", BRIEF_ENGINES),
 
-	/** Customers of one priority are ranked by the priority of their routes. */
+	/** Customers of equal priority are ranked by the priority of their routes. */
 	RANKS_OF_ROUTES("ranks-of-routes"),
 
-	/** What is late in any case waits behind what can still be in time. */
+	/** Requests that will be late in any case wait behind those that can be on time. */
 	DEFERRAL("deferral", RANKS_OF_ROUTES),
 
-	/** Waiting requests get their endpoint by rank and target, not by arrival. */
+	/** Waiting requests get an endpoint by rank and target instead of by arrival. */
 	ORDER_OF_THE_QUEUE("order-of-the-queue"),
 
-	/** Requests that come before the first configuration are held for a while. */
+	/** Requests that arrive before the first configuration are held for a while. */
 	HELD_REQUESTS("held-requests"),
 
-	/** An entry takes connections before it is ready. */
+	/** An entry VM accepts connections before it is ready. */
 	EARLY_LISTENING("early-listening");
 
 	private final String label;
@@ -92,8 +96,8 @@
 	}
 
 	/**
-	 * Find a mechanism by its word in a settings file.
-	 * @param label the word
+	 * Find a mechanism by its key in a settings file.
+	 * @param label the key
 	 * @return the mechanism, if there is one
 	 */
 	public static Optional<RoutingMechanism> ofLabel(String label) {
@@ -101,7 +105,7 @@
 	}
 
 	/**
-	 * Return the word used in settings files, logs and metrics.
+	 * Return the name used in settings files, logs and metrics.
 	 * @return the label
 	 */
 	public String label() {
--- a/core/src/main/java/org/acaciacourse/core/balance/RoutingPolicy.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/RoutingPolicy.java
@@ -9,19 +9,19 @@
 import java.util.Set;
 
 /**
- * How the routed path decides: which mechanisms are off and which figures differ from
- * their defaults. Invariants: no mechanism is on without the one that it needs; all
- * values are within their range.
+ * The configuration of request routing: the mechanisms that are off and the parameters
+ * that differ from their defaults. Invariants: no mechanism is on without the one that it
+ * depends on; all values are within their range.
  * <p>
  * Immutable and thread safe.
  *
- * @param name what logs and metrics call the policy
+ * @param name the name of the policy in logs and metrics
  * @param off the mechanisms that are switched off
  * @param values the values of parameters that are not at their defaults
  */
 public record RoutingPolicy(String name, Set<RoutingMechanism> off, Map<RoutingParameter, Double> values) {
 
-	/** All mechanisms with the figures that were measured. */
+	/** All mechanisms are on and all parameters have their measured defaults. */
 	public static final RoutingPolicy DEFAULT = new RoutingPolicy("default", Set.of(), Map.of());
 
 	public RoutingPolicy {
@@ -43,7 +43,7 @@
 	}
 
 	/**
-	 * Find the mechanisms that would be on without the one that they need.
+	 * Find the mechanisms that would be on without the one that they depend on.
 	 * @param off the mechanisms that are off
 	 * @return those mechanisms
 	 */
--- a/core/src/main/java/org/acaciacourse/core/balance/RoutingPolicyParser.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/RoutingPolicyParser.java
@@ -17,7 +17,8 @@
 /**
  * Reads a {@link RoutingPolicy} from the section {@value #SECTION} of a settings file:
  * {@code name}, mechanisms as {@code on} or {@code off}, parameters as numbers. Without
- * the section the default policy holds. A policy is taken whole or not at all.
+ * the section the default policy applies. A policy with any problem is rejected as a
+ * whole.
  * <p>
  * Thread safe: it has no state.
  */
@@ -43,7 +44,7 @@
 	/**
 	 * Read the policy of a settings file.
 	 * @param ini the file
-	 * @return the policy, or what is wrong with the section
+	 * @return the policy, or the problems of the section
 	 */
 	public static Either<List<Problem>, RoutingPolicy> parse(IniText ini) {
 		return new RoutingPolicyParser(ini).policy();
@@ -93,7 +94,7 @@
 			}
 		}
 		catch (NumberFormatException ex) {
-			// Told below, as for a number out of range.
+			// Reported below, as for a number out of range.
 		}
 		addProblem(entry.getKey(), "expected a number " + parameter.range());
 		return Optional.empty();
--- a/core/src/main/java/org/acaciacourse/core/balance/SharerCount.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/SharerCount.java
@@ -5,33 +5,33 @@
 import java.util.OptionalInt;
 
 /**
- * How many entry VMs may be spending the shared retry budget. Control counts those that
- * poll, and right after a start or an election it has heard of a few only: a VM that took
- * the first count for the whole would spend the part of all others, and all VMs do so at
- * the same moment, when failures are many.
+ * The number of entry VMs that may be spending the shared retry budget. The control VM
+ * counts those that poll it, and right after a start or an election it has heard from
+ * only a few. A VM that trusted the first count would spend the shares of all others, and
+ * all VMs would do so at the same moment, when there are many failures.
  * <p>
  * Invariants: the number is the highest of the last {@value #HOLD_SECONDS} s in which
- * control was heard; it is not known until control was heard for {@value #START_SECONDS}
- * s, nor after {@value #LEASE_SECONDS} s of silence. A VM that is cut off gives up its
- * part before the others divide it, as {@value #HOLD_SECONDS} s hold the lease and a
- * window of the budget.
+ * control was reachable; it is unknown until control was reachable for
+ * {@value #START_SECONDS} s, and after {@value #LEASE_SECONDS} s without contact. A VM
+ * that is disconnected gives up its share before the others divide it, as
+ * {@value #HOLD_SECONDS} s cover the lease and a window of the budget.
  * <p>
  * Not thread safe: belongs to one event loop.
  */
 public final class SharerCount {
 
-	/** In this time a control VM that started hears of all entries. */
+	/** Within this time a newly started control VM hears from all entry VMs. */
 	private static final int START_SECONDS = 15;
 
-	/** Control stops counting a VM that was silent for as long. */
+	/** After this time without a poll, control no longer counts a VM. */
 	private static final int LEASE_SECONDS = 10;
 
-	/** The lease, then a window of the budget, in which its last retries count. */
+	/** The lease plus a window of the budget, in which the VM's last retries count. */
 	private static final int HOLD_SECONDS = 25;
 
 	private static final long NANOS_PER_SECOND = 1_000_000_000L;
 
-	/** The highest first, and of equal ones the last. */
+	/** In descending order of count; of equal counts only the latest is kept. */
 	private final Deque<Observation> counts = new ArrayDeque<>();
 
 	private long firstReceivedAt;
@@ -39,8 +39,8 @@
 	private long lastReceivedAt;
 
 	/**
-	 * Take a count.
-	 * @param count the entry VMs that control knows of
+	 * Record a count from control.
+	 * @param count the number of entry VMs that control knows of
 	 * @param now the time
 	 */
 	public void told(int count, long now) {
@@ -48,7 +48,7 @@
 			this.firstReceivedAt = now;
 		}
 		else if (isSilent(now)) {
-			// A control VM that started meanwhile knows less than was known before.
+			// A control VM that started in the meantime knows of fewer VMs than before.
 			int before = this.counts.getFirst().count();
 			this.counts.clear();
 			this.counts.addLast(new Observation(now, before));
@@ -66,7 +66,7 @@
 	/**
 	 * Return how many VMs share the budget.
 	 * @param now the time
-	 * @return the number, at least 1, or empty if it is not known
+	 * @return the number, at least 1, or empty if unknown
 	 */
 	public OptionalInt sharers(long now) {
 		boolean known = !this.counts.isEmpty() && !isSilent(now)
@@ -75,7 +75,7 @@
 	}
 
 	/**
-	 * Return the highest number that control told lately.
+	 * Return the highest recent count from control.
 	 * @return the number, 0 before the first one
 	 */
 	public int highest() {
@@ -83,7 +83,7 @@
 	}
 
 	/**
-	 * Return the number that control told last.
+	 * Return the latest count from control.
 	 * @return the number, 0 before the first one
 	 */
 	public int latest() {
@@ -95,9 +95,9 @@
 	}
 
 	/**
-	 * What control told.
+	 * A count from control.
 	 *
-	 * @param at when
+	 * @param at when it arrived
 	 * @param count the number of entry VMs
 	 */
 	private record Observation(long at, int count) {
--- a/core/src/main/java/org/acaciacourse/core/balance/Turn.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/Turn.java
@@ -1,17 +1,18 @@
 package org.acaciacourse.core.balance;
 
 /**
- * When an engine turns to a request, seen against what else waits there.
+ * The position of a request in the queue of an engine, relative to the other requests
+ * that wait there.
  */
 public enum Turn {
 
-	/** Less urgent requests may wait there, which it goes before. */
+	/** Less urgent requests may wait there, which the request overtakes. */
 	BEFORE_OTHERS(true, false),
 
-	/** Nothing less urgent waits, but what is deferred. */
+	/** Nothing less urgent waits there except deferred requests. */
 	AFTER_OTHERS(true, true),
 
-	/** It is late in any case, and all others go before it. */
+	/** The request will be late in any case, and all others overtake it. */
 	DEFERRED(false, false);
 
 	private final boolean delaysOthers;
@@ -24,19 +25,20 @@
 	}
 
 	/**
-	 * Return whether others wait for it, so that its work is told to the other entries.
-	 * @return whether it counts as work that waits
+	 * Return whether others wait for the request, so that its work is reported to the
+	 * other entry VMs.
+	 * @return whether it counts as waiting work
 	 */
 	boolean delaysOthers() {
 		return this.delaysOthers;
 	}
 
 	/**
-	 * Return whether all that waited when it was sent was read before it. What goes
-	 * before others is read soon, however much waits; taken for pace, a burst of long
-	 * prompts with some short ones among them looks like an engine that reads four times
-	 * as fast, and no prompt looks late.
-	 * @return whether its wait tells how fast the engine reads
+	 * Return whether all that waited when the request was sent was prefilled before it. A
+	 * request that overtakes others is prefilled soon, whatever the queue. If its wait
+	 * counted, an engine with a burst of long prompts and some short ones would appear to
+	 * prefill four times as fast, and no prompt would be considered late.
+	 * @return whether its wait indicates the prefill rate of the engine
 	 */
 	boolean indicatesPrefillRate() {
 		return this.indicatesPrefillRate;
--- a/core/src/main/java/org/acaciacourse/core/balance/UseAnnouncements.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/UseAnnouncements.java
@@ -6,14 +6,14 @@
 import java.util.Set;
 
 /**
- * Uses of prompt parts that are to be told, each in two digests in a row, as datagrams
- * are lost. Invariant: at most {@value #MAX_PENDING} wait.
+ * Uses of prompt parts that wait to be sent, each in two consecutive digests because
+ * datagrams may be lost. Invariant: at most {@value #MAX_PENDING} are pending.
  * <p>
  * Not thread safe: belongs to one {@link LoadExchange}.
  */
 final class UseAnnouncements {
 
-	/** More than a group of VMs has between two digests. */
+	/** More than a group of VMs produces between two digests. */
 	private static final int MAX_PENDING = 300;
 
 	private final Set<PartUse> pending = new LinkedHashSet<>();
@@ -26,7 +26,7 @@
 
 	/**
 	 * Return the uses for a digest that is sent now.
-	 * @return those since the one before and those of that one
+	 * @return those since the previous digest and the new ones of that digest
 	 */
 	List<PartUse> forNextDigest() {
 		Set<PartUse> all = new LinkedHashSet<>(this.pending);
--- a/core/src/main/java/org/acaciacourse/core/balance/package-info.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Choice of an endpoint for a routed request: what an entry VM knows of each endpoint,
- * the balancer, and the budget for retries.
+ * Selection of an endpoint for a routed request: the load and health of each endpoint as
+ * known to an entry VM, the balancer, and the retry budget.
  */
 package org.acaciacourse.core.balance;
--- a/core/src/test/java/org/acaciacourse/core/balance/BalancerTestBase.java
+++ b/core/src/test/java/org/acaciacourse/core/balance/BalancerTestBase.java
@@ -7,9 +7,7 @@
 
 import org.acaciacourse.core.route.FleetEndpoint;
 
-/**
- * A pool and what the tests of its balancer ask of it.
- */
+/** Fixture of a pool and its balancer. */
 abstract class BalancerTestBase {
 
 	static final long SECOND = 1_000_000_000L;
--- a/core/src/test/java/org/acaciacourse/core/balance/BriefEnginesTests.java
+++ b/core/src/test/java/org/acaciacourse/core/balance/BriefEnginesTests.java
@@ -61,8 +61,8 @@
 	class LongPromptsWait {
 
 		/*
-		 * A burst of long prompts comes while few brief requests run. With two of six
-		 * engines kept for these, half of the long prompts are late.
+		 * A burst of long prompts arrives while few brief requests run. With two of six
+		 * engines reserved for these, half of the long prompts are late.
 		 */
 		@Test
 		void unneededReservedEngineIsReleased() {
@@ -75,8 +75,8 @@
 		}
 
 		/*
-		 * Brief requests burst as well: on one engine they would fill its batch, and all
-		 * of them would be late. They are more urgent.
+		 * Brief requests burst as well: on one engine they would fill its batch and all
+		 * be late. They are more urgent.
 		 */
 		@Test
 		void reservedEngineIsKeptWhileBriefRequestsNeedIt() {
@@ -87,7 +87,7 @@
 			assertThat(reservedCount()).isEqualTo(2);
 		}
 
-		/* A clump of prompts that is read in a moment is no burst. */
+		/* A cluster of prompts that is prefilled immediately is not a burst. */
 		@Test
 		void shortPromptClusterChangesNothing() {
 			pool(6, 64);
@@ -134,7 +134,10 @@
 			assertThat(reservedCount()).isEqualTo(2);
 		}
 
-		/* Many small engines and little to read: the number follows what runs. */
+		/*
+		 * With many small engines and little to prefill, the number follows the running
+		 * requests.
+		 */
 		@Test
 		void manySmallEnginesFollowWithinSeconds() {
 			pool(40, 16);
@@ -144,8 +147,8 @@
 		}
 
 		/*
-		 * A burst of brief requests comes to a hundred small engines. With one engine
-		 * more in each half second they are still full when it is over.
+		 * A burst of brief requests arrives at a hundred small engines. If one engine is
+		 * added every half second, they are still full when the burst is over.
 		 */
 		@Test
 		void burstReservesManyEnginesAtOnce() {
@@ -162,8 +165,8 @@
 	class Loss {
 
 		/*
-		 * The only engine for brief requests is lost. Until the list shows that, they
-		 * would be spread over all engines that read long prompts.
+		 * The only engine for brief requests is lost. Until the endpoint list shows that,
+		 * brief requests would be spread over all engines that prefill long prompts.
 		 */
 		@Test
 		void nextEngineStandsIn() {
@@ -198,7 +201,7 @@
 			assertThat(reservedCount()).isEqualTo(1);
 		}
 
-		/* Half of the engines leave while brief requests need all that they have. */
+		/* Half of the engines leave while brief requests need all of theirs. */
 		@Test
 		void smallerPoolIsRedivided() {
 			pool(8, 64);
--- a/core/src/test/java/org/acaciacourse/core/balance/ChoiceSampleTests.java
+++ b/core/src/test/java/org/acaciacourse/core/balance/ChoiceSampleTests.java
@@ -84,8 +84,8 @@
 			assertThat(drawn(1, 0, 9)).isEqualTo(0);
 		}
 
-		// Engines for brief requests are neighbours in the order of their hashes: drawn
-		// from a random place among all, two of them would get what all entries send.
+		// The reserved engines are adjacent in hash order: with a random start among all
+		// engines, two of them would get what all entry VMs send.
 		@Test
 		void enginesOfOneKindAreEquallyLikely() {
 			PoolBalancer balancer = new PoolBalancer(this.peers, (instance) -> true);
@@ -105,11 +105,10 @@
 
 	}
 
-	// Many entries hear of one another every 0.8 s only and have 160 answers of 3 s each
-	// for 50 engines of 16 slots, 10 for each. If all entries take the engine that was
-	// least loaded by the last digests, it gets a crowd at a time: callers wait for a
-	// slot
-	// there while others are free.
+	// Many entry VMs exchange digests only every 0.8 s and send 160 requests per second
+	// of 3 s each to 50 engines with 16 slots, which is about 10 running on each. If all
+	// entry VMs choose the engine that was least loaded in the last digests, it receives
+	// a herd of requests: callers wait for a slot there while others are free.
 	@Nested
 	class ManyEntries {
 
@@ -186,7 +185,7 @@
 			return this.waiting;
 		}
 
-		// Of some 1,600 requests one in a hundred may find all slots taken.
+		// At most one in a hundred of some 1,600 requests may find all slots taken.
 		@Test
 		void fewWaitForASlot() {
 			createVms(RoutingPolicy.DEFAULT);
--- a/core/src/test/java/org/acaciacourse/core/balance/ColdBurstTests.java
+++ b/core/src/test/java/org/acaciacourse/core/balance/ColdBurstTests.java
@@ -15,10 +15,10 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * Many users come at once with long prompts, of which most tokens are shared by all that
- * ask about the same thing, and the engines hold none of these yet. Things are not
- * equally popular, and hashing puts several on one engine: its callers wait for seconds
- * while others read nothing.
+ * A burst of long prompts arrives whose tokens are mostly shared by all requests on the
+ * same topic, and no engine has any of them cached. Topics are not equally popular, and
+ * hashing maps several popular ones to the same engine: its callers wait for seconds
+ * while other engines are idle.
  */
 class ColdBurstTests extends BalancerTestBase {
 
@@ -28,7 +28,9 @@
 
 	private static final int ENGINES = 14;
 
-	/** Beside answers that run, whose tokens come between the chunks of a prompt. */
+	/**
+	 * The rate beside running answers, whose tokens come between the chunks of a prompt.
+	 */
 	private static final double TOKENS_PER_MILLI = 25;
 
 	private static final long SHARED_TOKENS = 13_300;
@@ -110,7 +112,7 @@
 		}
 	}
 
-	// Some are asked for often: the cube of an equal draw.
+	// The cube of a uniform draw: some topics are much more popular than others.
 	private static long drawTopic(Random random) {
 		double drawn = random.nextDouble();
 		return 1 + (long) (drawn * drawn * drawn * TOPICS);
@@ -161,7 +163,7 @@
 		return this.engines.values().stream().mapToLong((engine) -> engine.prefillTokens).sum();
 	}
 
-	/** Reads prompts one after the other and keeps the parts that were used last. */
+	/** Prefills prompts one after the other and caches the most recently used parts. */
 	private static final class Engine {
 
 		private final Map<Long, Long> parts = new LinkedHashMap<>(16, 0.75f, true);
--- a/core/src/test/java/org/acaciacourse/core/balance/HomesTests.java
+++ b/core/src/test/java/org/acaciacourse/core/balance/HomesTests.java
@@ -43,9 +43,9 @@
 	class NewPart {
 
 		/*
-		 * Entries that do not know of one another yet send a new part past its busy first
-		 * home. They must agree on where: else it is read at as many engines as there are
-		 * entries.
+		 * Entry VMs that do not know of each other's load yet divert a new part from its
+		 * busy primary home. They must agree on where: otherwise it is prefilled by as
+		 * many engines as there are entry VMs.
 		 */
 		@Test
 		void isPrefilledAtTheSameSecondaryByAllEntryVms() {
@@ -87,8 +87,8 @@
 		}
 
 		/*
-		 * Both homes of a part are busy. Each further copy would drive out the parts of
-		 * others, which are then read again while all queues grow.
+		 * Both homes of a part are busy. Each further copy would evict other parts, which
+		 * are then prefilled again while all queues grow.
 		 */
 		@Test
 		void isNotPrefilledAtAThirdEndpoint() {
--- a/core/src/test/java/org/acaciacourse/core/balance/IdleLimitTests.java
+++ b/core/src/test/java/org/acaciacourse/core/balance/IdleLimitTests.java
@@ -4,9 +4,8 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
-// An endpoint forgets idle connections after 300 ms though it tells 15 s. The first two
-// requests that are reset are lost to their callers; those after them go over new
-// connections.
+// An endpoint drops idle connections after 300 ms though it announces 15 s. The first two
+// requests that are reset are lost to their callers; later ones use new connections.
 class IdleLimitTests {
 
 	private static final long MILLI = 1_000_000L;
@@ -25,8 +24,8 @@
 		assertThat(this.limit.limit(1_001 * MILLI)).isEqualTo(200 * MILLI);
 	}
 
-	// Endpoints that lose two or three answers in a hundred reset connections too. Were
-	// that a lesson, each of them would cost new connections for seconds.
+	// Endpoints that lose two or three percent of their answers reset connections too. If
+	// each such loss set a limit, it would cost new connections for seconds.
 	@Test
 	void singleLossSetsNoLimit() {
 		this.limit.lost(400 * MILLI, 3 * MILLI, 0);
--- a/core/src/test/java/org/acaciacourse/core/balance/LoadExchangeTests.java
+++ b/core/src/test/java/org/acaciacourse/core/balance/LoadExchangeTests.java
@@ -14,7 +14,8 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * Many entry VMs in virtual time, with datagrams that are late, lost and doubled.
+ * Tests of the exchange between many entry VMs in simulated time, with datagrams that are
+ * late, lost or duplicated.
  */
 class LoadExchangeTests {
 
@@ -26,10 +27,10 @@
 
 	private static final int MAX_DIRECT_PEERS = 20;
 
-	/** Longer than a report, a summary and a view take one after the other. */
+	/** Longer than the time for a report, a summary and a view in sequence. */
 	private static final long SETTLED_MILLIS = 1_000;
 
-	/** From the failure of a relay until its group is served by the next one. */
+	/** The time from the failure of a relay until its group is served by the next one. */
 	private static final long FAILOVER_MILLIS = 2_500;
 
 	private static List<PeerLoads.Load> loads(Random random) {
@@ -41,9 +42,7 @@
 			.toList();
 	}
 
-	/**
-	 * All entry VMs and the network between them.
-	 */
+	/** All entry VMs and the network between them. */
 	private static final class Network {
 
 		private final Random random;
@@ -107,7 +106,7 @@
 			}
 		}
 
-		// Each VM sees what all others have under way, no more and no less.
+		// Asserts that each VM knows exactly the load of all others.
 		void assertAllKnown() {
 			for (Vm vm : this.vms) {
 				if (!vm.down) {
@@ -138,7 +137,7 @@
 			return this.vms.stream().mapToInt((vm) -> vm.received).max().orElse(0);
 		}
 
-		// The VMs that sum a group up.
+		// The VMs that aggregate a group.
 		List<Vm> relays() {
 			this.vms.forEach((vm) -> vm.sent = 0);
 			run(2_000);
@@ -227,8 +226,8 @@
 		}
 
 		/*
-		 * A release or a fault takes entries away, and VMs are added. Some entries tell
-		 * one another then while others report to relays already.
+		 * A release or a fault removes entry VMs, and VMs are added. Some VMs then send
+		 * digests directly while others report to relays already.
 		 */
 		@Test
 		void isReachedWhenTheNumberOfVmsCrossesTheRelayThreshold() {
@@ -245,8 +244,8 @@
 		}
 
 		/*
-		 * An entry had an engine read a part of a prompt. Each entry that is not told has
-		 * it read once more at an engine of its own choice.
+		 * An entry VM had an engine prefill a prompt part. Each VM that does not learn of
+		 * it has the part prefilled again at an engine of its own choice.
 		 */
 		@Test
 		void usesOfPartsReachAllVms() {
@@ -266,8 +265,8 @@
 	class Cost {
 
 		/*
-		 * Each VM told each other one: with 95 of them that were 9,500 datagrams a
-		 * second, for views that were a second old.
+		 * When every VM sent digests to every other one, 95 VMs exchanged 9,500 datagrams
+		 * a second, for views that were a second old.
 		 */
 		@Test
 		void doesNotGrowWithTheNumberOfVms() {
@@ -302,7 +301,8 @@
 			assertThat(network.relays()).hasSize(DATA_CENTRES);
 		}
 
-		// It loses its power: the platform's control notices that after ten seconds.
+		// The relays lose power. The control VM of the platform notices that only after
+		// ten seconds.
 		@Test
 		void nextRelayTakesOverFromALostOne() {
 			Network network = settled();
@@ -314,8 +314,8 @@
 		}
 
 		/*
-		 * A relay sends and does not receive, as behind a cut in one direction. What it
-		 * still tells must not stand in the way of the next one.
+		 * A relay sends but does not receive, as with a one-way network failure. Its
+		 * messages must not prevent the next relay from taking over.
 		 */
 		@Test
 		void nextRelayTakesOverFromOneThatReceivesNothing() {
--- a/core/src/test/java/org/acaciacourse/core/balance/MixedPlacementTests.java
+++ b/core/src/test/java/org/acaciacourse/core/balance/MixedPlacementTests.java
@@ -12,8 +12,8 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * Tests of how {@link PoolBalancer} keeps brief and long requests, and those that are
- * late, apart.
+ * Tests of how {@link PoolBalancer} separates brief requests, long prompts and late
+ * requests.
  */
 class MixedPlacementTests extends BalancerTestBase {
 
@@ -24,9 +24,9 @@
 			return IntStream.range(0, 8).mapToObj((i) -> beginBrief(instance)).toList();
 		}
 
-		// Long prompts are read between the tokens of the answers beside them, whose
-		// events come too late then. The two kinds go to endpoints of their own, which
-		// all entries agree on.
+		// Long prompts are prefilled between the tokens of running answers, whose events
+		// are then late. The two kinds use separate endpoints, on which all entry VMs
+		// agree.
 		@Test
 		void briefRequestsAndLongPromptsGetSeparateEndpoints() {
 			MixedPlacementTests.this.balancer.endpoints(endpoints(12));
@@ -43,9 +43,10 @@
 		}
 
 		/*
-		 * An engine was for brief requests until a moment ago and still runs eight. A
-		 * long prompt is read between their events, which come a fifth of a second late:
-		 * each of them misses its gap for one prompt that would wait a little elsewhere.
+		 * An engine that was recently reserved for brief requests still runs eight of
+		 * them. A long prompt would be prefilled between their events and delay them by a
+		 * fifth of a second: each would miss its target gap for one prompt that would
+		 * wait only briefly elsewhere.
 		 */
 		@Test
 		void longPromptAvoidsRunningBriefAnswers() {
@@ -58,9 +59,9 @@
 		}
 
 		/*
-		 * In a burst of long prompts, prompts that are read between two events wait
-		 * behind them for half a second, while the engines for brief requests could read
-		 * them.
+		 * In a burst of long prompts, short prompts that could be prefilled between two
+		 * events wait half a second behind the long ones, while the engines for brief
+		 * requests could prefill them.
 		 */
 		@Test
 		void shortPromptsGoToTheEnginesForBriefRequestsInABurst() {
@@ -82,8 +83,8 @@
 		}
 
 		/*
-		 * Another service aims for longer gaps between events, so that longer prompts do
-		 * no harm.
+		 * Another service aims for longer gaps between events, so that longer prompts are
+		 * harmless.
 		 */
 		@Test
 		void harmlessWorkFollowsFromTheTargetGap() {
@@ -105,8 +106,8 @@
 
 	}
 
-	// Long prompts come twice as fast as engines read them. Served in the order of
-	// arrival all are late in the end, each by as much as its caller bears.
+	// Long prompts arrive twice as fast as engines prefill them. Served in order of
+	// arrival, all end up late, each by as much as its caller tolerates.
 	@Nested
 	class Late {
 
@@ -121,9 +122,9 @@
 		}
 
 		/*
-		 * Short prompts go before the long ones of a burst, and each is answered within a
-		 * step of the engine, though 80,000 tokens wait there. That must not pass for the
-		 * pace of reading: no long prompt would be late by it, until all are.
+		 * Short prompts overtake the long ones of a burst, and each is answered within
+		 * one step of the engine, though 80,000 tokens wait there. If these waits counted
+		 * for the prefill rate, no long prompt would be considered late until all are.
 		 */
 		@Test
 		void overtakingRequestsDoNotAffectThePrefillRate() {
--- a/core/src/test/java/org/acaciacourse/core/balance/PoolBalancerTests.java
+++ b/core/src/test/java/org/acaciacourse/core/balance/PoolBalancerTests.java
@@ -51,9 +51,9 @@
 
 	}
 
-	// All engines are behind by seconds. Each part that is read at one more engine makes
-	// all queues longer, so that still more requests are sent past their usual engine.
-	// Engines then read shared parts again and again and answer little.
+	// All engines have seconds of work queued. Each part that is prefilled at one more
+	// engine makes all queues longer, so that even more requests are diverted from their
+	// usual engine. Engines then prefill shared parts again and again and answer little.
 	@Nested
 	class Overload {
 
@@ -81,8 +81,9 @@
 
 	}
 
-	// One entry sends a prompt past its usual engine, whose queue is long. If it tells
-	// nobody, each other entry has a third and a fourth engine read the same part.
+	// One entry VM diverts a prompt from its usual engine, whose queue is long. If it
+	// does not report that, each other entry VM has a third and a fourth engine prefill
+	// the same part.
 	@Nested
 	class PeerUses {
 
@@ -180,9 +181,9 @@
 
 	}
 
-	// An engine goes dark while it answers. Its connections stay open, and a request that
-	// is sent over one of them waits until its time is over and can't be sent again, as
-	// it may have run. Answers that stopped tell it sooner than any time-out.
+	// An engine fails silently while it answers. Its connections stay open, and a request
+	// that is sent on one of them waits until its deadline and can't be sent again, as it
+	// may have run. Stalled streams reveal the failure sooner than any time-out.
 	@Nested
 	class Silence {
 
@@ -194,7 +195,7 @@
 			return choose(PromptShape.NONE, 1, Set.of(), now).get();
 		}
 
-		// A request of each endpoint, so that both are equally busy.
+		// Begins a request at each endpoint, so that both are equally busy.
 		private PlacedRequest streamAt(String instance) {
 			PlacedRequest stream = begin(instance, PromptShape.NONE);
 			stream.streamBegan(1);
@@ -252,8 +253,8 @@
 	@Nested
 	class Peers {
 
-		// Six entries each see a sixth of a burst of long prompts. Each sends one of them
-		// to the same idle endpoint, and the short requests there wait for seconds.
+		// Six entry VMs each see a sixth of a burst of long prompts. If each sends one of
+		// them to the same idle endpoint, the short requests there wait for seconds.
 		@Test
 		void workOfOtherEntryVmsCounts() {
 			PoolBalancerTests.this.balancer.endpoints(endpoints(2));
--- a/core/src/test/java/org/acaciacourse/core/balance/PromptMemoryTests.java
+++ b/core/src/test/java/org/acaciacourse/core/balance/PromptMemoryTests.java
@@ -56,7 +56,7 @@
 		assertThat(this.cache.cachedTokens(prompt(TEMPLATE, OWN))).isEqualTo(0);
 	}
 
-	// Without the bound the sum overflows, and nothing ever makes room again.
+	// Without the bound the sum overflows, and nothing is evicted any more.
 	@Test
 	void invalidPartSizesDoNotCorruptTheSum() {
 		this.cache.engineCacheTokens(8_000);
--- a/core/src/test/java/org/acaciacourse/core/balance/ReadingPaceTests.java
+++ b/core/src/test/java/org/acaciacourse/core/balance/ReadingPaceTests.java
@@ -26,7 +26,7 @@
 		assertThat(millis(45_000)).isEqualTo(1_000);
 	}
 
-	/* Engines of another kind read three times as fast as usual. */
+	/* Engines of another kind prefill at a multiple of the default rate. */
 	@Test
 	void rateFollowsObservedWaits() {
 		observe(200, 45_000, 500);
@@ -34,9 +34,9 @@
 	}
 
 	/*
-	 * A burst fills the batches, and the engines read 30 tokens in a millisecond in place
-	 * of 45. An entry sees a few of the waits in a second; until it knows, it sends
-	 * prompts as if they could be in time which come half a second late.
+	 * A burst fills the batches, and the engines prefill 30 tokens per millisecond
+	 * instead of 45. An entry VM observes a few waits per second; until its estimate is
+	 * right, it sends prompts as on time that arrive half a second late.
 	 */
 	@Test
 	void tenWaitsShowMostOfAChange() {
@@ -45,7 +45,8 @@
 	}
 
 	/*
-	 * An idle engine answers after a step of its batch, which tells nothing of reading.
+	 * An idle engine answers after one batch step, which does not depend on its prefill
+	 * rate.
 	 */
 	@Test
 	void shortWaitsAreIgnored() {
@@ -54,8 +55,8 @@
 	}
 
 	/*
-	 * One request waited for ten seconds behind an engine that stood still. The next ones
-	 * must not all be taken for late.
+	 * One request waited ten seconds for an engine that was stalled. The next ones must
+	 * not all be considered late.
 	 */
 	@Test
 	void singleWaitMovesTheEstimateLittle() {
--- a/core/src/test/java/org/acaciacourse/core/balance/RetryAllowanceTests.java
+++ b/core/src/test/java/org/acaciacourse/core/balance/RetryAllowanceTests.java
@@ -14,9 +14,10 @@
 
 	private static final long SECOND = 1_000_000_000L;
 
-	// Endpoints fail most requests for a while, and each entry would retry all of them.
-	// Whoever counts the arrivals sees the sum of all entries over any window; it must
-	// stay within the ratio and the minimum although no entry knows of the others.
+	// Endpoints fail most requests for a while, and each entry VM would retry all of
+	// them. The sum over all entry VMs in any window, as counted by an observer of the
+	// arrivals, must stay within the ratio and the minimum although the VMs do not
+	// communicate.
 	@Test
 	void sumOfAllEntryVmsStaysWithinTheBudgetInAnyWindow() {
 		int entries = 6;
@@ -30,7 +31,7 @@
 		List<Long> requests = new ArrayList<>();
 		List<Long> retries = new ArrayList<>();
 		for (long now = 0; now < 60 * SECOND; now += SECOND / 50) {
-			// The load is uneven: one entry gets half of it.
+			// The load is uneven: one VM gets half of it, plus its share of the rest.
 			RetryAllowance allowance = allowances.get((random.nextBoolean()) ? 0 : random.nextInt(entries));
 			allowance.request(now);
 			requests.add(now);
@@ -61,7 +62,7 @@
 	@Nested
 	class Start {
 
-		// The process before this one may have spent the burst in the same window.
+		// The previous process may have spent the burst in the same window.
 		@Test
 		void earnsFromItsOwnRequestsOnly() {
 			RetryAllowance allowance = new RetryAllowance(0, 10 * SECOND, 0.2, 52);
@@ -74,7 +75,8 @@
 			assertThat(allowance.left(12 * SECOND)).isGreaterThan(40.0);
 		}
 
-		// A started entry is left without retries until control has counted for long.
+		// Without earned retries, a restarted entry VM could not retry until control has
+		// counted for some time.
 		@Test
 		void hasARetryAfterAFewRequestsWithoutACount() {
 			RetryAllowance allowance = new RetryAllowance(0, 10 * SECOND, 0.2, 52);
@@ -95,7 +97,8 @@
 			this.allowance.sharers(OptionalInt.of(5));
 		}
 
-		// All requests that wait for an endpoint pass on the same last retry.
+		// Otherwise all requests that wait for an endpoint would rely on the same last
+		// retry.
 		@Test
 		void lastRetryIsReservedOnce() {
 			assertThat(this.allowance.reserve(SECOND)).isTrue();
@@ -104,7 +107,7 @@
 			assertThat(this.allowance.reserve(SECOND)).isTrue();
 		}
 
-		// VMs join while retries are reserved that the smaller part does not hold.
+		// VMs join while more retries are reserved than the smaller share permits.
 		@Test
 		void reservationDoesNotOutliveThePart() {
 			this.allowance.sharers(OptionalInt.of(1));
--- a/core/src/test/java/org/acaciacourse/core/balance/RetryFleet.java
+++ b/core/src/test/java/org/acaciacourse/core/balance/RetryFleet.java
@@ -12,9 +12,9 @@
 import org.acaciacourse.core.measure.RetryWindows;
 
 /**
- * Entry VMs that share one retry budget, in virtual time: callers, endpoints that refuse,
- * processes that are killed, frozen and cut off, and control VMs that count who polls.
- * Counts all requests and retries as an observer of the whole system does.
+ * Simulates entry VMs that share one retry budget: callers, endpoints that refuse,
+ * processes that are killed, frozen and disconnected, and control VMs that count the
+ * polling VMs. Counts all requests and retries as an observer of the whole system does.
  * <p>
  * Not thread safe.
  */
@@ -28,7 +28,7 @@
 
 	private static final long POLL_INTERVAL = 900 * MILLI;
 
-	/** Control counts an entry for so long after its last poll. */
+	/** How long control counts an entry VM after its last poll. */
 	private static final long POLL_TIMEOUT = 10 * SECOND;
 
 	private static final int MAX_RETRIES = 5;
@@ -80,23 +80,24 @@
 		return this.windows.retryCount();
 	}
 
-	// The requests of all callers in a second, and the part of attempts that is refused.
+	// Sets the requests per second of all callers, and the share of attempts that is
+	// refused.
 	void load(double perSecond, double refusedShare) {
 		this.requestsPerSecond = perSecond;
 		this.refusedShare = refusedShare;
 	}
 
-	// All callers use one VM as long as it serves; -1 spreads them.
+	// Lets all callers use one VM while it is serving; -1 spreads them.
 	void prefer(int vm) {
 		this.preferred = vm;
 	}
 
-	// How long retries wait for an endpoint or a connection.
+	// Sets how long retries wait for an endpoint or a connection.
 	void delayRetries(long nanos) {
 		this.retryDelay = nanos;
 	}
 
-	/** Start a process, in place of the one that the VM had. */
+	/** Start a process, replacing that of the VM. */
 	void start(int vm) {
 		this.entries.put(vm, new Entry(vm));
 	}
@@ -110,12 +111,12 @@
 		this.entries.get(vm).frozenUntil = this.now + nanos;
 	}
 
-	// The VM is cut off from control, and serves.
+	// Disconnects the VM from control. It continues to serve.
 	void disconnect(int vm, long nanos) {
 		this.entries.get(vm).disconnectedUntil = this.now + nanos;
 	}
 
-	// Control is down, then knows nothing of who polled before.
+	// Stops or starts control, which then has no record of earlier polls.
 	void control(boolean up) {
 		this.controlUp = up;
 		this.polled.clear();
@@ -144,17 +145,17 @@
 	}
 
 	/**
-	 * Return the first window in which more was sent again than the rule allows.
-	 * @return what was counted in it
+	 * Return the first window with more retries than the rule permits.
+	 * @return the counts in it
 	 */
 	Optional<String> excess() {
 		return this.windows.excess();
 	}
 
 	/**
-	 * The rule that all entries together keep.
+	 * The rule that all entry VMs together obey.
 	 *
-	 * @param window the length of any span that is counted, in nanoseconds
+	 * @param window the length of any time span that is counted, in nanoseconds
 	 * @param ratio retries for each request
 	 * @param minimum retries whatever the requests are
 	 */
@@ -171,7 +172,7 @@
 
 		private final SharerCount sharers = new SharerCount();
 
-		/** When the retries that wait are sent. */
+		/** When the waiting retries are sent. */
 		private final Deque<Long> waiting = new ArrayDeque<>();
 
 		private long pollAt;
--- a/core/src/test/java/org/acaciacourse/core/balance/RoutingPolicyParserTests.java
+++ b/core/src/test/java/org/acaciacourse/core/balance/RoutingPolicyParserTests.java
@@ -61,8 +61,8 @@
 		assertThat(problems("anew-factor = Infinity")).hasSize(1);
 	}
 
-	// Parts travel in the digests: told while those are off they would seem to be in use
-	// and do nothing.
+	// Part uses are sent in the digests: if they could be on while digests are off, they
+	// would appear to be in use and have no effect.
 	@Test
 	void mechanismWithoutItsDependencyIsRejected() {
 		assertThat(problems("load-digests = off"))
--- a/core/src/test/java/org/acaciacourse/core/balance/RoutingPolicyTests.java
+++ b/core/src/test/java/org/acaciacourse/core/balance/RoutingPolicyTests.java
@@ -13,8 +13,9 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * Tests of {@link PoolBalancer} under policies. What one switches off has no part in the
- * choice, and comes back when the next one has it, with what was learnt meanwhile.
+ * Tests of {@link PoolBalancer} under policies. A mechanism that is off does not affect
+ * the choice. It takes effect again under the next policy that has it on, with what was
+ * learned in the meantime.
  */
 class RoutingPolicyTests extends BalancerTestBase {
 
@@ -168,7 +169,7 @@
 		assertThat(forBrief).doesNotContain(choose(small, 1, Set.of(), 0).get());
 	}
 
-	// The least share is none at all; a pool that is divided needs an engine for each
+	// The lowest permitted share is zero, but a divided pool needs an engine for each
 	// kind.
 	@Test
 	void dividedPoolHasAReservedEngineWithAFirstShareOfZero() {
--- a/core/src/test/java/org/acaciacourse/core/balance/SharedRetryBudgetTests.java
+++ b/core/src/test/java/org/acaciacourse/core/balance/SharedRetryBudgetTests.java
@@ -39,7 +39,7 @@
 	@Nested
 	class OneFault {
 
-		// A process that starts again spends once more what the one before it spent.
+		// A restarted process must not spend again what its predecessor spent.
 		@Test
 		void entryVmsKilledInSeriesWhileEndpointsRefuse() {
 			for (long seed = 1; seed <= 50; seed++) {
@@ -55,7 +55,7 @@
 			}
 		}
 
-		// An entry spends for the callers that it had, and another one for the same
+		// One entry VM spends for the callers that it had, and another one for the same
 		// callers after they moved.
 		@Test
 		void callersThatMoveToAnotherEntryVm() {
@@ -69,7 +69,7 @@
 			assertWithin(fleet, "callers moved");
 		}
 
-		// All requests that wait for an endpoint count on the same last retry.
+		// All requests that wait for an endpoint rely on the same last retry.
 		@Test
 		void retriesThatWaitForAnEndpoint() {
 			RetryFleet fleet = warmedUp(RULE, VMS, 1);
@@ -80,7 +80,8 @@
 			assertWithin(fleet, "retries wait");
 		}
 
-		// An entry that heard of no other one since its start spends the whole minimum.
+		// An entry VM that has heard of no others since its start must not spend the
+		// whole minimum.
 		@Test
 		void entryVmsThatStartWithoutControl() {
 			RetryFleet fleet = warmedUp(RULE, VMS, 1);
@@ -92,7 +93,7 @@
 			assertWithin(fleet, "no control since the start");
 		}
 
-		// A control VM that just started has heard of few entries only.
+		// A newly started control VM has heard from only a few entry VMs.
 		@Test
 		void controlThatStartsAfterALongOutage() {
 			RetryFleet fleet = warmedUp(RULE, VMS, 1);
@@ -104,8 +105,8 @@
 			assertWithin(fleet, "control counts anew");
 		}
 
-		// The others divide the part of an entry that control lost sight of, and it still
-		// spends it.
+		// The others divide the share of an entry VM that control no longer hears from,
+		// while that VM still spends it.
 		@Test
 		void entryVmsDisconnectedFromControl() {
 			RetryFleet fleet = warmedUp(RULE, VMS, 1);
@@ -124,7 +125,7 @@
 	@Nested
 	class NoEntryVmFaults {
 
-		// Care with the budget costs callers the retries that it allows.
+		// A budget that is kept too cautiously denies callers retries that it permits.
 		@Test
 		void mostOfTheBudgetIsUsableWhileEndpointsRefuse() {
 			RetryFleet fleet = warmedUp(RULE, VMS, 1);
@@ -143,7 +144,7 @@
 	@Nested
 	class ManyFaults {
 
-		// Faults of all kinds come in series and overlap, as drawn from the seed.
+		// Faults of all kinds occur in series and overlap, as drawn from the seed.
 		@Test
 		void sumStaysWithinTheRuleUnderAnyFaults() {
 			for (long seed = 1; seed <= 200; seed++) {
--- a/core/src/test/java/org/acaciacourse/core/balance/SharerCountTests.java
+++ b/core/src/test/java/org/acaciacourse/core/balance/SharerCountTests.java
@@ -13,7 +13,7 @@
 
 	private final SharerCount count = new SharerCount();
 
-	// Control tells the number once a second.
+	// Control sends the count once a second.
 	private void receive(int number, int fromSecond, int toSecond) {
 		for (int second = fromSecond; second <= toSecond; second++) {
 			this.count.told(number, second * SECOND);
@@ -27,8 +27,9 @@
 	@Nested
 	class Start {
 
-		// All VMs start again at once, and control has heard of two entries. Each of the
-		// six would spend the part of the others while endpoints fail all around.
+		// All VMs restart at once, and control has heard from only a few entry VMs. Each
+		// of the six would spend the shares of the others while endpoints fail
+		// everywhere.
 		@Test
 		void countIsUnknownUntilControlHasHeardFromAll() {
 			receive(1, 1, 2);
@@ -38,7 +39,7 @@
 			assertThat(sharers(16)).isEqualTo(OptionalInt.of(6));
 		}
 
-		// An entry that reaches no control VM takes itself for the only one.
+		// An entry VM that reaches no control VM must not consider itself the only one.
 		@Test
 		void countIsUnknownWithoutControl() {
 			assertThat(sharers(100)).isEqualTo(OptionalInt.empty());
@@ -49,7 +50,7 @@
 	@Nested
 	class Changes {
 
-		// A control VM that just started counts few entries for some seconds.
+		// A newly started control VM counts only a few entry VMs for some seconds.
 		@Test
 		void countFallsOnlyAfterTheHoldTime() {
 			receive(6, 1, 20);
@@ -71,7 +72,7 @@
 	@Nested
 	class Silence {
 
-		// Control does not count a VM that is cut off, and the others divide its part.
+		// Control does not count a disconnected VM, and the others divide its share.
 		@Test
 		void countIsUnknownAfterTheLease() {
 			receive(6, 1, 20);
@@ -79,7 +80,7 @@
 			assertThat(sharers(31)).isEqualTo(OptionalInt.empty());
 		}
 
-		// All control VMs start again, and the first one that answers knows one entry.
+		// All control VMs restart, and the first one that answers knows of one entry VM.
 		@Test
 		void previousCountHoldsForTheHoldTime() {
 			receive(6, 1, 20);
