--- a/core/src/main/java/org/acaciacourse/core/balance/LoadDigest.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/LoadDigest.java
@@ -36,7 +36,8 @@
 
 	public LoadDigest {
 		if (part < 0 || parts < 1 || part >= parts || parts > MAX_PARTS || vms < 1) {
-			throw new IllegalArgumentException("part " + part + " of " + parts + " for " + vms + " VMs");
+			throw new IllegalArgumentException(
+					"invalid digest: part " + part + " of " + parts + " for " + vms + " VMs");
 		}
 		loads = List.copyOf(loads);
 		uses = List.copyOf(uses);
--- a/core/src/main/java/org/acaciacourse/core/balance/PromptShape.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/PromptShape.java
@@ -79,7 +79,7 @@
 
 		public Part {
 			if (tokens < 0) {
-				throw new IllegalArgumentException("a part of a prompt has tokens");
+				throw new IllegalArgumentException("negative token count of a prompt part: " + tokens);
 			}
 		}
 
--- a/core/src/main/java/org/acaciacourse/core/balance/RoutingParameter.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/RoutingParameter.java
@@ -118,27 +118,27 @@
 	NEARLY_SHORTEST("nearly-shortest", "times", 1.25, 1, 100),
 
 	/** The fraction of engines for brief requests until their need is known. */
-	FIRST_BRIEF_SHARE("first-brief-share", "part of the engines", 0.25, 0, 0.5),
+	FIRST_BRIEF_SHARE("first-brief-share", "fraction of the engines", 0.25, 0, 0.5),
 
 	/**
 	 * The fraction of the slots that brief requests may fill before they get another
 	 * engine, whatever waits elsewhere. A batch step grows with the number of requests in
 	 * it, so that beyond this a little more load fills up the batch.
 	 */
-	MOST_FILLED("most-filled", "part of the slots", 0.9, 0.05, 1),
+	MOST_FILLED("most-filled", "fraction of the slots", 0.9, 0.05, 1),
 
 	/**
 	 * The fraction of the slots that brief requests may fill on one engine less for that
 	 * engine to be released. Lower than {@link #MOST_FILLED}, as requests take longer on
 	 * fewer engines.
 	 */
-	FILLED_AFTER("filled-after", "part of the slots", 0.6, 0, 1),
+	FILLED_AFTER("filled-after", "fraction of the slots", 0.6, 0, 1),
 
 	/**
 	 * The fraction of the slots that brief requests fill before they get an engine that
 	 * no others need.
 	 */
-	LEAST_FILLED("least-filled", "part of the slots", 0.25, 0, 1),
+	LEAST_FILLED("least-filled", "fraction of the slots", 0.25, 0, 1),
 
 	/**
 	 * The work waiting at each engine for long prompts at which these need another
--- a/core/src/main/java/org/acaciacourse/core/balance/RoutingPolicy.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/RoutingPolicy.java
@@ -33,11 +33,13 @@
 		given.putAll(values);
 		values = Collections.unmodifiableMap(given);
 		if (!withUnmetDependency(off).isEmpty()) {
-			throw new IllegalArgumentException("on without what they need: " + withUnmetDependency(off));
+			throw new IllegalArgumentException(
+					"mechanisms on without the one they depend on: " + withUnmetDependency(off));
 		}
 		values.forEach((parameter, value) -> {
 			if (!parameter.permits(value)) {
-				throw new IllegalArgumentException(parameter.label() + " is not " + parameter.range());
+				throw new IllegalArgumentException(
+						parameter.label() + " must be a number " + parameter.range() + ", got " + value);
 			}
 		});
 	}
--- a/core/src/main/java/org/acaciacourse/core/balance/RoutingPolicyParser.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/RoutingPolicyParser.java
@@ -70,7 +70,8 @@
 				name = entry.getValue();
 			}
 			else {
-				addProblem(entry.getKey(), (entry.getKey().equals(NAME)) ? "empty" : "no mechanism and no parameter");
+				addProblem(entry.getKey(),
+						(entry.getKey().equals(NAME)) ? "must not be empty" : "unknown mechanism or parameter");
 			}
 		}
 		RoutingPolicy.withUnmetDependency(off)
--- a/core/src/test/java/org/acaciacourse/core/balance/RoutingPolicyParserTests.java
+++ b/core/src/test/java/org/acaciacourse/core/balance/RoutingPolicyParserTests.java
@@ -49,7 +49,7 @@
 	@Test
 	void problemsAreReportedTogetherWithLineKeyAndRange() {
 		assertThat(problems("name = trial", "paces = off", "pauses = no", "anew-factor = 0.5", "calm-work = many"))
-			.containsExactly("line 5: [routing-policy] paces: no mechanism and no parameter",
+			.containsExactly("line 5: [routing-policy] paces: unknown mechanism or parameter",
 					"line 6: [routing-policy] pauses: expected on or off",
 					"line 7: [routing-policy] anew-factor: expected a number from 1.0 to 1000.0 times",
 					"line 8: [routing-policy] calm-work: expected a number from 0.0 to 1.0E7 tokens");
