--- a/core/src/main/java/org/acaciacourse/core/balance/EndpointLoad.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/EndpointLoad.java
@@ -172,7 +172,7 @@
 		return this.streams > 0 && now - this.lastActivityAt > SUSPECT_AFTER_NANOS;
 	}
 
-	// Whether the last connection failed or broke.
+	// Whether the last request could not reach it or lost its connection.
 	boolean isLost() {
 		return this.consecutiveLosses > 0;
 	}
