--- a/core/src/main/java/org/acaciacourse/core/balance/PoolBalancer.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/PoolBalancer.java
@@ -277,14 +277,14 @@
 	 * Record that a request is sent.
 	 * @param instance the endpoint that was chosen, still in the pool
 	 * @param request the request
-	 * @param turn its position in the queue of the endpoint
+	 * @param queuePosition its position in the queue of the endpoint
 	 * @param now the time
 	 * @return the request there
 	 */
-	public PlacedRequest begin(String instance, Placement request, Turn turn, long now) {
+	public PlacedRequest begin(String instance, Placement request, Turn queuePosition, long now) {
 		samplerFor(request).requestSent(now);
 		EndpointLoad load = find(instance).orElseThrow();
-		PlacedRequest placed = new PlacedRequest(load, this.prefillRate, request, turn);
+		PlacedRequest placed = new PlacedRequest(load, this.prefillRate, request, queuePosition);
 		request.shape().sharedParts().forEach((part) -> {
 			load.prefixCache().recordUse(part);
 			queueUse(new PartUse(load.id(), part));
--- a/core/src/test/java/org/acaciacourse/core/balance/ChoiceSampleTests.java
+++ b/core/src/test/java/org/acaciacourse/core/balance/ChoiceSampleTests.java
@@ -110,9 +110,9 @@
 	// entry VMs choose the engine that was least loaded in the last digests, it receives
 	// a herd of requests: callers wait for a slot there while others are free.
 	@Nested
-	class ManyEntries {
+	class ManyEntryVms {
 
-		private static final int ENTRIES = 40;
+		private static final int ENTRY_VMS = 40;
 
 		private static final int ENGINES = 50;
 
@@ -131,7 +131,7 @@
 		private int waiting;
 
 		private void createVms(RoutingPolicy policy) {
-			for (int i = 0; i < ENTRIES; i++) {
+			for (int i = 0; i < ENTRY_VMS; i++) {
 				PeerLoads peerLoads = new PeerLoads();
 				PoolBalancer balancer = new PoolBalancer(peerLoads, (instance) -> true);
 				balancer.endpoints(endpoints(ENGINES));
@@ -143,7 +143,7 @@
 
 		private void sendDigests(int from, long at, long number) {
 			List<PeerLoads.Load> loads = this.balancers.get(from).own();
-			for (int to = 0; to < ENTRIES; to++) {
+			for (int to = 0; to < ENTRY_VMS; to++) {
 				if (to != from) {
 					this.peers.get(to).receive("vm" + from, number, loads, at);
 				}
@@ -173,13 +173,13 @@
 			for (int milli = 0; milli < 10_000; milli++) {
 				long at = milli * MILLI;
 				endUntil(at);
-				for (int vm = 0; vm < ENTRIES; vm++) {
-					if (milli % DIGEST_INTERVAL_MILLIS == vm * DIGEST_INTERVAL_MILLIS / ENTRIES) {
+				for (int vm = 0; vm < ENTRY_VMS; vm++) {
+					if (milli % DIGEST_INTERVAL_MILLIS == vm * DIGEST_INTERVAL_MILLIS / ENTRY_VMS) {
 						sendDigests(vm, at, milli + 1);
 					}
 				}
 				if (random.nextInt(1_000) < 160) {
-					send(this.balancers.get(random.nextInt(ENTRIES)), random.nextLong(), at);
+					send(this.balancers.get(random.nextInt(ENTRY_VMS)), random.nextLong(), at);
 				}
 			}
 			return this.waiting;
--- a/core/src/test/java/org/acaciacourse/core/balance/ColdBurstTests.java
+++ b/core/src/test/java/org/acaciacourse/core/balance/ColdBurstTests.java
@@ -24,7 +24,7 @@
 
 	private static final long MILLI = 1_000_000;
 
-	private static final int ENTRIES = 17;
+	private static final int ENTRY_VMS = 17;
 
 	private static final int ENGINES = 14;
 
@@ -52,7 +52,7 @@
 	private static final RoutingPolicy WITHOUT_SECONDARY_HOME = new RoutingPolicy("one-home",
 			Set.of(RoutingMechanism.SECOND_HOME), Map.of());
 
-	private static final int DIGEST_INTERVAL_MILLIS = 10 * ENTRIES;
+	private static final int DIGEST_INTERVAL_MILLIS = 10 * ENTRY_VMS;
 
 	private final List<PeerLoads> peerLoads = new ArrayList<>();
 
@@ -69,7 +69,7 @@
 	private long prefillTokens;
 
 	private void createVms(RoutingPolicy policy) {
-		for (int i = 0; i < ENTRIES; i++) {
+		for (int i = 0; i < ENTRY_VMS; i++) {
 			PeerLoads loads = new PeerLoads();
 			PoolBalancer next = new PoolBalancer(loads, (instance) -> true);
 			next.endpoints(endpoints(ENGINES));
@@ -84,7 +84,7 @@
 	private void sendDigests(int from, long at, long number) {
 		List<PeerLoads.Load> loads = this.balancers.get(from).own();
 		List<PartUse> uses = this.balancers.get(from).takeUntold();
-		for (int to = 0; to < ENTRIES; to++) {
+		for (int to = 0; to < ENTRY_VMS; to++) {
 			if (to != from) {
 				this.peerLoads.get(to).receive("vm" + from, number, loads, at);
 				uses.forEach(this.balancers.get(to)::told);
@@ -124,13 +124,13 @@
 		for (int milli = 0; milli < DURATION_SECONDS * 1_000; milli++) {
 			long at = milli * MILLI;
 			completePrefills(at);
-			for (int vm = 0; vm < ENTRIES; vm++) {
-				if (milli % DIGEST_INTERVAL_MILLIS == vm * DIGEST_INTERVAL_MILLIS / ENTRIES) {
+			for (int vm = 0; vm < ENTRY_VMS; vm++) {
+				if (milli % DIGEST_INTERVAL_MILLIS == vm * DIGEST_INTERVAL_MILLIS / ENTRY_VMS) {
 					sendDigests(vm, at, milli + 1);
 				}
 			}
 			if (random.nextInt(1_000) < REQUESTS_PER_SECOND) {
-				send(this.balancers.get(random.nextInt(ENTRIES)), drawTopic(random), -1 - random.nextLong(1L << 40),
+				send(this.balancers.get(random.nextInt(ENTRY_VMS)), drawTopic(random), -1 - random.nextLong(1L << 40),
 						at);
 			}
 		}
--- a/core/src/test/java/org/acaciacourse/core/balance/RetryAllowanceTests.java
+++ b/core/src/test/java/org/acaciacourse/core/balance/RetryAllowanceTests.java
@@ -109,7 +109,7 @@
 
 		// VMs join while more retries are reserved than the smaller share permits.
 		@Test
-		void reservationDoesNotOutliveThePart() {
+		void reservationsBeyondAReducedShareAreNotSpent() {
 			this.allowance.sharers(OptionalInt.of(1));
 			int reserved = 0;
 			while (this.allowance.reserve(SECOND)) {
