--- a/daemon/src/main/java/org/acaciacourse/daemon/entry/EndpointAttempt.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/entry/EndpointAttempt.java
@@ -127,11 +127,11 @@
 	private void sendRequest(Map<String, String> extraHeaders, long firstTokenIndex, boolean freshConnection) {
 		RequestPlan plan = this.request.plan();
 		long number = this.request.nextExchangeNumber();
-		String wireId = this.request.requestId() + "." + number;
-		this.exchange = new EndpointExchange(this, plan, number, wireId, firstTokenIndex, this.request.executor());
+		String exchangeId = this.request.requestId() + "." + number;
+		this.exchange = new EndpointExchange(this, plan, number, exchangeId, firstTokenIndex, this.request.executor());
 		this.exchangeSpan = this.context.traces().child("endpoint", this.span);
 		Map<String, String> headers = new TreeMap<>(plan.outboundRequest().headers());
-		headers.put("x-request-id", wireId);
+		headers.put("x-request-id", exchangeId);
 		headers.put("x-priority", Integer.toString(this.attempt.enginePriority()));
 		if (plan.content().prefixHash() != 0) {
 			headers.put("x-prefix", Long.toHexString(plan.content().prefixHash()));
@@ -333,7 +333,7 @@
 		}, this.request.executor());
 	}
 
-	private void resumeOrEnd(AttemptOutcome outcomeOtherwise, ResultCode code) {
+	private void resumeOrEnd(AttemptOutcome fallbackOutcome, ResultCode code) {
 		if (this.resumes < MAX_RESUMES && this.request.canResume()) {
 			this.resumes++;
 			this.exchangeSpan.end();
@@ -341,7 +341,7 @@
 		}
 		else {
 			RunQuestion.cancel(this.context.client(), baseUrl(), this.exchange.exchangeId());
-			end(outcomeOtherwise, code);
+			end(fallbackOutcome, code);
 		}
 	}
 
@@ -401,12 +401,12 @@
 
 	private void handleRunning(long tokens) {
 		boolean ahead = this.request.plan().outboundRequest().stream() && tokens > this.exchange.nextTokenIndex();
-		boolean grows = tokens > this.lastReportedTokens;
+		boolean progressed = tokens > this.lastReportedTokens;
 		this.lastReportedTokens = tokens;
 		if (ahead) {
 			reconnect();
 		}
-		else if (!grows && ++this.stalledChecks >= MAX_STALLED_CHECKS) {
+		else if (!progressed && ++this.stalledChecks >= MAX_STALLED_CHECKS) {
 			giveUp(AttemptOutcome.SILENT);
 		}
 		else {
--- a/daemon/src/main/java/org/acaciacourse/daemon/entry/EndpointExchange.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/entry/EndpointExchange.java
@@ -224,8 +224,8 @@
 	}
 
 	@Override
-	public void ended(EndpointCall from, boolean whole) {
-		this.callEnd = Optional.of(whole);
+	public void ended(EndpointCall from, boolean complete) {
+		this.callEnd = Optional.of(complete);
 		readable(from);
 	}
 
--- a/daemon/src/main/java/org/acaciacourse/daemon/entry/RequestPlanner.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/entry/RequestPlanner.java
@@ -182,15 +182,15 @@
 	}
 
 	private static Optional<Duration> deadline(CallerRequest request, RequestClass requestClass) {
-		Optional<String> asked = request.header("x-deadline-ms");
-		if (asked.isEmpty()) {
+		Optional<String> requested = request.header("x-deadline-ms");
+		if (requested.isEmpty()) {
 			return Optional.of(requestClass.deadline());
 		}
-		if (!asked.get().matches("[1-9][0-9]{0,11}")) {
+		if (!requested.get().matches("[1-9][0-9]{0,11}")) {
 			return Optional.empty();
 		}
-		Duration bound = Duration.ofMillis(Long.parseLong(asked.get()));
-		return Optional.of((bound.compareTo(requestClass.deadline()) < 0) ? bound : requestClass.deadline());
+		Duration limit = Duration.ofMillis(Long.parseLong(requested.get()));
+		return Optional.of((limit.compareTo(requestClass.deadline()) < 0) ? limit : requestClass.deadline());
 	}
 
 	private static long hash(Customer customer, RequestPlan.OutboundRequest outboundRequest) {
