--- a/daemon/src/main/java/org/acaciacourse/daemon/entry/ActiveRequest.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/entry/ActiveRequest.java
@@ -23,11 +23,12 @@
 import org.acaciacourse.daemon.http.Refusal;
 
 /**
- * One request from its arrival to its end. Exactly one end is told to the caller: the
- * whole answer, a refusal, or an error inside a stream that began.
+ * One request from its arrival to its end. The caller gets exactly one result: the
+ * complete response, a refusal, or an error event in a stream that has started.
  * <p>
- * A request that runs at most once is claimed before it is handed to the dispatcher, and
- * runs to its end even if its caller goes away, so that a resend gets the answer.
+ * A request that runs at most once is claimed before it is submitted to the dispatcher,
+ * and runs to its end even if its caller disconnects, so that a retry of the caller gets
+ * the response.
  * <p>
  * Not thread safe: belongs to the event loop of the caller. Only {@link #id},
  * {@link #info} and {@link #executor} may be called by another thread.
@@ -129,14 +130,14 @@
 		return ++this.exchangeCount;
 	}
 
-	/** Begin: claim the request if it needs a claim, else hand it to the dispatcher. */
+	/** Claim the request if it runs at most once, else submit it to the dispatcher. */
 	void start() {
 		this.periodicCheck = executor().scheduleAtFixedRate(this::runPeriodicChecks, CHECK_INTERVAL_SECONDS,
 				CHECK_INTERVAL_SECONDS, TimeUnit.SECONDS);
 		this.claim.ifPresentOrElse(RequestClaim::acquire, this::submitToDispatcher);
 	}
 
-	/** The claim is granted: hand the request to the dispatcher. */
+	/** Submit the request to the dispatcher, once its claim is granted if it has one. */
 	void submitToDispatcher() {
 		if (this.done) {
 			this.claim
@@ -150,9 +151,9 @@
 	}
 
 	/**
-	 * The claim is not granted: the first request with its key has run or may have.
+	 * Refuse the request because its claim was not granted.
 	 * @param code the reason
-	 * @param runState what is known of the first request
+	 * @param runState whether an earlier request with the same key has run
 	 */
 	void claimRefused(ResultCode code, RunState runState) {
 		if (!this.done) {
@@ -164,8 +165,8 @@
 	}
 
 	/**
-	 * The claim was completed before: answer with what was kept.
-	 * @param stored the answer
+	 * Answer with the stored response of a claim that was completed before.
+	 * @param stored the response
 	 */
 	void replay(StoredResponse stored) {
 		if (!this.done) {
@@ -177,7 +178,7 @@
 	}
 
 	/**
-	 * Make an attempt.
+	 * Start an attempt.
 	 * @param attempt the attempt
 	 * @param endpoint its endpoint
 	 */
@@ -194,7 +195,7 @@
 
 	/**
 	 * Cancel an attempt.
-	 * @param attemptId the attempt
+	 * @param attemptId the id of the attempt
 	 */
 	void cancelAttempt(long attemptId) {
 		EndpointAttempt attempt = this.attempts.get(attemptId);
@@ -204,9 +205,9 @@
 	}
 
 	/**
-	 * End the request without a whole answer.
+	 * End the request without a complete response.
 	 * @param code the reason
-	 * @param retryAfter when to come back
+	 * @param retryAfter the time after which the caller may retry
 	 */
 	void fail(ResultCode code, Optional<Duration> retryAfter) {
 		if (this.done) {
@@ -228,12 +229,12 @@
 	}
 
 	/**
-	 * Judge a token and pass it on if it is the next one.
+	 * Check a token and forward it if it is the next one.
 	 * @param attempt the attempt
 	 * @param exchange its exchange
-	 * @param index the place of the token
+	 * @param index the index of the token in the response
 	 * @param eventData the event
-	 * @return the judgement
+	 * @return what to do with the token
 	 */
 	AnswerSequence.Verdict acceptToken(EndpointAttempt attempt, EndpointExchange exchange, long index,
 			EndpointExchange.EventData eventData) {
@@ -257,10 +258,10 @@
 	}
 
 	/**
-	 * An attempt yielded the whole answer.
+	 * Accept the complete response of an attempt.
 	 * @param attempt the attempt
 	 * @param exchange its last exchange
-	 * @return whether its answer is the one passed on
+	 * @return whether this response is the one forwarded to the caller
 	 */
 	boolean acceptResponse(EndpointAttempt attempt, EndpointExchange exchange) {
 		if (this.done || (this.forwardedAttempt != null && this.forwardedAttempt != attempt)) {
@@ -285,9 +286,9 @@
 	}
 
 	/**
-	 * Take note of how an exchange ended.
+	 * Record the end of an exchange.
 	 * @param exchange the exchange
-	 * @param outcome how
+	 * @param outcome how it ended
 	 */
 	void recordExchangeEnd(EndpointExchange exchange, EndpointExchange.Outcome outcome) {
 		if (exchange.call().maySent()) {
@@ -303,8 +304,8 @@
 	}
 
 	/**
-	 * An exchange broke; its engine may be able to go on with it.
-	 * @param exchange the exchange
+	 * Set the exchange that a later one may resume, if the engine supports it.
+	 * @param exchange the interrupted exchange
 	 */
 	void setResumeSource(EndpointExchange exchange) {
 		this.resumeSource = exchange.exchangeId();
@@ -312,7 +313,7 @@
 	}
 
 	/**
-	 * Keep the answer of an endpoint that refused the request itself.
+	 * Store the response of an endpoint that rejected the request as invalid.
 	 * @param exchange the exchange
 	 */
 	void storeRejection(EndpointExchange exchange) {
@@ -335,16 +336,16 @@
 
 	/**
 	 * Return whether the request may be run from its start.
-	 * @return whether it may be repeated, or can't have run yet
+	 * @return whether the request may be repeated or can't have run yet
 	 */
 	boolean mayRun() {
 		return this.claim.isEmpty() || this.runStateTracker.mayRunAgain();
 	}
 
 	/**
-	 * An attempt ended.
+	 * Record the end of an attempt.
 	 * @param attempt the attempt
-	 * @param code what went wrong, {@link ResultCode#OK} for nothing
+	 * @param code the failure, {@link ResultCode#OK} if there was none
 	 */
 	void attemptEnded(EndpointAttempt attempt, ResultCode code) {
 		this.attempts.remove(attempt.attemptId());
@@ -381,7 +382,7 @@
 		removeUnlessClaimed();
 	}
 
-	/** Cut the request: the VM ends before it does. */
+	/** Abort the request because the VM stops before it has ended. */
 	void abortForShutdown() {
 		if (!this.done) {
 			this.context.dispatchLoop().callerGone(this.id);
@@ -396,9 +397,9 @@
 		}
 		this.responseWriter.writeKeepAliveIfIdle(KEEP_ALIVE_IDLE_NANOS);
 		if (this.submitted && this.context.dispatchLoop().now() > this.info.deadlineNanos() + DEADLINE_GRACE_NANOS) {
-			// The dispatcher ends each request at its deadline. This guard holds even
-			// if a fault inside it forgot one: no caller may be left without a final
-			// answer.
+			// The dispatcher ends each request at its deadline. This check covers a
+			// request that it lost by a fault, as no caller may be left without a
+			// final response.
 			this.context.dispatchLoop().callerGone(this.id);
 			fail(ResultCode.DEADLINE_EXCEEDED, Optional.empty());
 		}
@@ -416,7 +417,7 @@
 		}
 	}
 
-	/** The claim is completed: nothing is left to be done. */
+	/** Remove the request after its claim is completed. */
 	void claimCompleted() {
 		this.context.activeRequests().remove(this);
 	}
--- a/daemon/src/main/java/org/acaciacourse/daemon/entry/ActiveRequests.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/entry/ActiveRequests.java
@@ -5,14 +5,14 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * The requests of an entry VM that are not ended, their claims included. Their number is
- * bounded, so that a burst costs bounded memory whatever the policy makes of it.
+ * The requests of an entry VM that have not ended or whose claims are not completed.
+ * Their number is limited, so that a burst needs bounded memory under any policy.
  * <p>
  * Thread safe.
  */
 final class ActiveRequests {
 
-	/** Most open requests. */
+	/** Maximum number of active requests. */
 	static final int MAX = 20_000;
 
 	private final Set<ActiveRequest> requests = ConcurrentHashMap.newKeySet();
@@ -20,9 +20,9 @@
 	private final AtomicInteger count = new AtomicInteger();
 
 	/**
-	 * Take a request in.
+	 * Add a request.
 	 * @param request the request
-	 * @return false if there are too many
+	 * @return false if the limit is reached
 	 */
 	boolean add(ActiveRequest request) {
 		if (this.count.incrementAndGet() > MAX) {
--- a/daemon/src/main/java/org/acaciacourse/daemon/entry/CallerResponseWriter.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/entry/CallerResponseWriter.java
@@ -15,8 +15,8 @@
 import org.acaciacourse.daemon.http.Refusal;
 
 /**
- * Writes the answer of one request to its caller, under the id of the request. Events
- * that arrive together are written and flushed together.
+ * Writes the response of one request to its caller, with the id of the request in place
+ * of the exchange's id. Events that arrive together are written and flushed together.
  * <p>
  * Not thread safe: belongs to the event loop of the caller.
  */
@@ -68,7 +68,7 @@
 		return this.response.executor();
 	}
 
-	/** The caller went away: from now on everything is dropped. */
+	/** Handle the disconnect of the caller: all further output is dropped. */
 	void callerGone() {
 		this.callerGone = true;
 	}
@@ -85,8 +85,8 @@
 	}
 
 	/**
-	 * Return for how long the caller has taken nothing.
-	 * @return nanoseconds, 0 if it takes data
+	 * Return for how long the connection to the caller has not been writable.
+	 * @return nanoseconds, 0 if it is writable
 	 */
 	long blockedNanos() {
 		return (isWritable()) ? 0 : System.nanoTime() - this.blockedSince;
@@ -97,10 +97,11 @@
 	}
 
 	/**
-	 * Add an event, with the id of the request in the place of the attempt's.
-	 * @param index the place of the token in the answer
+	 * Append an event to the pending output, with the exchange's id replaced by the
+	 * request's.
+	 * @param index the index of the token in the response
 	 * @param eventData the event
-	 * @param idLength the length of the attempt's id
+	 * @param idLength the length of the exchange's id
 	 */
 	void appendEvent(long index, EndpointExchange.EventData eventData, int idLength) {
 		if (this.pending == Unpooled.EMPTY_BUFFER) {
@@ -115,7 +116,7 @@
 			.writeBytes(EVENT_END);
 	}
 
-	/** Write and flush what was added. */
+	/** Write and flush the pending events. */
 	void flush() {
 		if (this.pending == Unpooled.EMPTY_BUFFER) {
 			return;
@@ -156,7 +157,7 @@
 		return headers;
 	}
 
-	/** End a whole stream. */
+	/** Flush pending events and end the stream with the end marker. */
 	void endStream() {
 		flush();
 		startStream();
@@ -168,9 +169,9 @@
 	}
 
 	/**
-	 * Write a comment line if nothing was written for a while, so that a dead caller
-	 * shows.
-	 * @param idleNanos how long
+	 * Write a comment line if the stream was idle, so that a dead connection to the
+	 * caller is detected.
+	 * @param idleNanos the idle time in nanoseconds
 	 */
 	void writeKeepAliveIfIdle(long idleNanos) {
 		if (this.response.isStarted() && System.nanoTime() - this.lastWriteAt > idleNanos) {
@@ -179,9 +180,9 @@
 	}
 
 	/**
-	 * Write a whole plain answer.
-	 * @param exchange the exchange that yielded it
-	 * @param model whether it is the JSON of a model engine, which carries the id
+	 * Forward a complete, non-streaming response.
+	 * @param exchange the exchange that received it
+	 * @param model whether it is the JSON of a model engine, which contains the id
 	 */
 	void forwardResponse(EndpointExchange exchange, boolean model) {
 		byte[] body = (model) ? withRequestId(exchange) : exchange.responseBody();
@@ -213,9 +214,9 @@
 	}
 
 	/**
-	 * Write an answer as it was kept.
-	 * @param stored the answer
-	 * @return false if a stream was begun, so that it can't be written
+	 * Write a stored response.
+	 * @param stored the response
+	 * @return false if a stream has started, so that it can't be written
 	 */
 	boolean writeStored(StoredResponse stored) {
 		if (this.response.isStarted()) {
@@ -226,7 +227,7 @@
 	}
 
 	/**
-	 * Refuse the request, inside the stream if one was begun.
+	 * Refuse the request, with an error event if a stream has started.
 	 * @param refusal the reason
 	 */
 	void refuse(Refusal refusal) {
@@ -240,8 +241,8 @@
 	}
 
 	/**
-	 * Return what is to be kept with a claim.
-	 * @return the encoded answer, empty if it is too large
+	 * Return the response to be stored with the claim.
+	 * @return the encoded response, empty if it is too large
 	 */
 	byte[] encodedResponse() {
 		return this.storedResponse.encode();
--- a/daemon/src/main/java/org/acaciacourse/daemon/entry/ChatBody.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/entry/ChatBody.java
@@ -9,16 +9,16 @@
 import net.openhft.hashing.LongHashFunction;
 
 /**
- * What the router needs of the body of a chat completion. The body is read as a stream of
- * tokens and passed on as it came.
+ * The fields of a chat completion request that the router needs. The body is parsed as a
+ * stream of JSON tokens and forwarded unchanged.
  * <p>
  * Immutable and thread safe.
  *
  * @param model the model
- * @param stream whether the caller wants a stream of events
- * @param maxTokens the most tokens asked for, 0 if no bound was given
- * @param prefixHash a hash of the first bytes of the messages, 0 if they are short
- * @param promptTokens an estimate of the tokens of the messages
+ * @param stream whether the caller requests an event stream
+ * @param maxTokens the requested maximum of tokens, 0 if none was given
+ * @param prefixHash a hash of the first bytes of the messages, 0 if they are shorter
+ * @param promptTokens the estimated number of tokens of the messages
  */
 record ChatBody(String model, boolean stream, int maxTokens, long prefixHash, int promptTokens) {
 
@@ -29,9 +29,9 @@
 	private static final int BYTES_PER_TOKEN = 4;
 
 	/**
-	 * Read a body.
+	 * Parse a body.
 	 * @param body the body
-	 * @return what it asks for, empty if it is malformed
+	 * @return the fields, empty if the body is malformed
 	 */
 	static Optional<ChatBody> parse(byte[] body) {
 		try (JsonParser parser = JSON.createParser(body)) {
@@ -42,7 +42,7 @@
 		}
 	}
 
-	/** Reads one body. */
+	/** Parses one body. */
 	private static final class Reader {
 
 		private final JsonParser parser;
--- a/daemon/src/main/java/org/acaciacourse/daemon/entry/CompletionTokenCounter.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/entry/CompletionTokenCounter.java
@@ -8,7 +8,7 @@
 import com.fasterxml.jackson.core.JsonToken;
 
 /**
- * Reads the plain answer of a model engine to its end and counts its tokens.
+ * Parses the complete non-streaming response of a model engine and reads its token count.
  * <p>
  * Thread safe: it has no state.
  */
@@ -20,10 +20,10 @@
 	}
 
 	/**
-	 * Count the tokens of an answer.
-	 * @param body the JSON of the answer
-	 * @return the number of tokens, 0 if the engine does not tell; empty if the JSON is
-	 * not whole
+	 * Return the number of tokens of a response.
+	 * @param body the JSON of the response
+	 * @return the number of tokens, 0 if the engine does not report it; empty if the JSON
+	 * is incomplete or malformed
 	 */
 	static Optional<Long> count(byte[] body) {
 		try (JsonParser parser = JSON.createParser(body)) {
--- a/daemon/src/main/java/org/acaciacourse/daemon/entry/Configuration.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/entry/Configuration.java
@@ -12,15 +12,15 @@
 import org.acaciacourse.core.model.Manifest;
 
 /**
- * A manifest made ready for look-ups: customers by the digest of their key, and the epoch
- * of the policy.
+ * A manifest with an index of customers by the digest of their key, and the epoch of the
+ * policy.
  * <p>
  * Immutable and thread safe.
  *
  * @param manifest the manifest
- * @param epoch the number of the manifest that took the present policy into force, as far
- * as this VM saw it
- * @param customersByDigest the customers by the SHA-256 of each key
+ * @param epoch the number of the manifest that activated the current policy, as far as
+ * this VM has seen it
+ * @param customersByDigest the customers by the SHA-256 of each of their keys
  */
 record Configuration(Manifest manifest, long epoch, Map<String, Customer> customersByDigest) {
 
@@ -34,8 +34,8 @@
 	}
 
 	/**
-	 * Find the customer of a key.
-	 * @param key the key as the caller sent it
+	 * Return the customer of a key.
+	 * @param key the key as sent by the caller
 	 * @return the customer, if the key is known
 	 */
 	Optional<Customer> customerOfKey(String key) {
--- a/daemon/src/main/java/org/acaciacourse/daemon/entry/DispatchEvent.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/entry/DispatchEvent.java
@@ -3,15 +3,15 @@
 import org.acaciacourse.core.dispatch.Dispatcher;
 
 /**
- * Something that the dispatcher is told, on its thread.
+ * An event for the dispatcher, applied on the dispatcher's thread.
  */
 @FunctionalInterface
 interface DispatchEvent {
 
 	/**
-	 * Tell the dispatcher.
+	 * Apply the event.
 	 * @param dispatcher the dispatcher
-	 * @param now the time on its clock
+	 * @param now the time on the dispatcher's clock in nanoseconds
 	 */
 	void apply(Dispatcher dispatcher, long now);
 
--- a/daemon/src/main/java/org/acaciacourse/daemon/entry/DispatchLoop.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/entry/DispatchLoop.java
@@ -25,15 +25,15 @@
 import org.jctools.queues.MpscArrayQueue;
 
 /**
- * The one thread that owns the dispatcher. Events come in through a bounded ring, actions
- * go out as tasks of the event loop that owns the request.
+ * The single thread that owns the dispatcher. Events are submitted through a bounded
+ * queue; the dispatcher's actions run as tasks on the event loop that owns the request.
  * <p>
- * Only arrivals are refused when the ring is nearly full. The rest of it is reserved for
- * what follows an arrival, of which each open request can have a few waiting at most, so
- * that no end of an attempt is ever lost.
+ * Only arrivals are refused, once a quarter of the queue is in use. The rest is reserved
+ * for later events of accepted requests. As each active request has at most a few of them
+ * queued, the end of an attempt is never lost.
  * <p>
- * Thread safe: {@link #submit} and {@link #submitArrival} are called by any thread; the
- * actions only by its own.
+ * Thread safe: {@link #submit} and {@link #submitArrival} may be called by any thread,
+ * the methods of {@link DispatchActions} by the dispatcher's thread only.
  */
 final class DispatchLoop implements DispatchActions {
 
@@ -47,7 +47,7 @@
 
 	private static final long MAX_PARK_NANOS = 10_000_000L;
 
-	/** In an overload nearly every request is refused. */
+	/** Bounds the log volume in an overload, when nearly every request is refused. */
 	private static final int MAX_REFUSAL_LINES_PER_SECOND = 10;
 
 	private final LineBudget refusalLogLimiter = new LineBudget(MAX_REFUSAL_LINES_PER_SECOND, System.nanoTime());
@@ -94,16 +94,16 @@
 
 	/**
 	 * Return the time on the dispatcher's clock.
-	 * @return nanoseconds since this loop was made
+	 * @return nanoseconds since this loop was created
 	 */
 	long now() {
 		return System.nanoTime() - this.startNanos;
 	}
 
 	/**
-	 * Hand a new request over.
+	 * Submit a new request.
 	 * @param request the request
-	 * @return false if the ring is too full
+	 * @return false if the queue is too full for arrivals
 	 */
 	boolean submitArrival(ActiveRequest request) {
 		if (this.eventQueue.size() > MAX_QUEUED_ON_ARRIVAL) {
@@ -117,7 +117,7 @@
 	}
 
 	/**
-	 * Hand an event over.
+	 * Submit an event and wake the dispatcher's thread if it is parked.
 	 * @param event the event
 	 */
 	void submit(DispatchEvent event) {
@@ -128,13 +128,13 @@
 	}
 
 	/**
-	 * Hand an event over that can wait for some milliseconds: waking the thread for each
-	 * token would cost more than the decisions.
+	 * Submit an event that can wait for some milliseconds. Waking the thread for each
+	 * token would cost more than the dispatcher's decisions.
 	 * @param event the event
 	 */
 	void submitWithoutWakeup(DispatchEvent event) {
 		while (!this.eventQueue.offer(event)) {
-			// Not reached while arrivals keep to their bound; see the class comment.
+			// Not reached, as arrivals are limited; see the class comment.
 			Thread.onSpinWait();
 		}
 	}
--- a/daemon/src/main/java/org/acaciacourse/daemon/entry/EndpointAttempt.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/entry/EndpointAttempt.java
@@ -18,9 +18,10 @@
 import org.acaciacourse.daemon.telemetry.Traces;
 
 /**
- * One attempt at one endpoint. It may take several exchanges: when a connection breaks or
- * goes silent while its engine lives, the attempt goes on over a fresh connection from
- * the last token passed on. The dispatcher hears only of an end that this can't mend.
+ * One attempt at one endpoint. It may consist of several exchanges: when a connection
+ * breaks or stalls while the engine is still running, the attempt is resumed over a new
+ * connection after the last forwarded token. Only a failure that can't be resumed is
+ * reported to the dispatcher.
  * <p>
  * Not thread safe: belongs to the event loop of the caller.
  */
@@ -101,9 +102,11 @@
 			end(AttemptOutcome.REJECTED, ResultCode.RETRIES_EXHAUSTED);
 			return;
 		}
-		// A plain service can't be asked about a request, so that a kept connection
-		// that went silent would hold a call until its deadline; a marked call may not
-		// risk one at all.
+		// The status of a request can't be queried at a service that is not a model
+		// engine, so a reused connection that stalls would block the call until its
+		// deadline. A request that runs at most once must not use a reused connection
+		// at all: the connection may be dead, and then it is unknown whether the
+		// request ran.
 		boolean freshConnection = !this.request.plan().isModel() || this.request.plan().claim().isPresent();
 		sendRequest(Map.of(), 0, freshConnection);
 	}
@@ -176,7 +179,7 @@
 		return sent;
 	}
 
-	/** Go on once the caller takes data again. */
+	/** Resume reading when the caller is writable again. */
 	void resumeReading() {
 		if (!this.done && this.exchange != null) {
 			this.lastProgressAt = System.nanoTime();
@@ -279,8 +282,8 @@
 			this.forwardedTokens = (int) completed.tokenCount();
 			reportTokens();
 		}
-		// The connection is reused only if the answer is read to its end; an endpoint
-		// that never ends it must not hold the connection for good.
+		// The connection is reused only if the response is read to its end. An endpoint
+		// that never ends the response must not occupy the connection forever.
 		this.request.executor().schedule(completed::close, 1, TimeUnit.SECONDS);
 		if (this.request.acceptResponse(this, completed)) {
 			end(AttemptOutcome.COMPLETE, ResultCode.OK);
@@ -315,11 +318,11 @@
 		}
 	}
 
-	// The engine does not know the request or does not answer. Either it crashed and is
-	// back already, or the connection broke before the request was read. A crash must
-	// be told as one: else the content that caused it would go on to the next engine,
-	// and the next. An engine that does not answer yet is asked again, as it may be on
-	// its way back.
+	// The engine does not know the request or does not respond. Either it crashed and has
+	// restarted already, or the connection broke before the request was read. A crash
+	// must be reported as one, as otherwise the content that caused it would be sent to
+	// one engine after another. An engine that does not respond yet is queried again, as
+	// it may be restarting.
 	private void checkRestarted(ResultCode code, long retryUntil) {
 		RunQuestion.started(this.context.client(), baseUrl()).whenCompleteAsync((started, failure) -> {
 			if (started.isEmpty() && this.engineStart.isPresent() && System.nanoTime() < retryUntil) {
--- a/daemon/src/main/java/org/acaciacourse/daemon/entry/EndpointExchange.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/entry/EndpointExchange.java
@@ -11,9 +11,9 @@
 import org.acaciacourse.daemon.endpoint.EventSplitter;
 
 /**
- * One HTTP exchange of an attempt, under an id of its own. Reads the answer and judges
- * whether it belongs to this id and whether it is whole; both must be proven, by the
- * header, by the id inside and by the end mark.
+ * One HTTP exchange of an attempt, with an id of its own. Reads the response and checks
+ * that it belongs to this id and that it is complete. Both must be proven: by the
+ * response header, by the id in the body and by the end of the body or stream.
  * <p>
  * Not thread safe: belongs to the event loop of the caller.
  */
@@ -91,7 +91,7 @@
 	}
 
 	/**
-	 * Return how many tokens came, passed on or not.
+	 * Return the number of received tokens, forwarded or not.
 	 * @return the number of tokens
 	 */
 	long tokenCount() {
@@ -107,8 +107,8 @@
 	}
 
 	/**
-	 * Give the exchange up.
-	 * @return whether a byte of the request may have been sent
+	 * Abandon the exchange.
+	 * @return whether any byte of the request may have been sent
 	 */
 	boolean close() {
 		this.closed = true;
@@ -171,7 +171,7 @@
 		finishIfDrained();
 	}
 
-	/** Go on reading once the caller takes data again. */
+	/** Resume reading when the caller is writable again. */
 	void resumeReading() {
 		readable(this.call);
 	}
@@ -279,28 +279,28 @@
 	 */
 	enum Outcome {
 
-		/** The whole answer came, under the right id. */
+		/** The complete response was received, with the right id. */
 		COMPLETE,
 
-		/** No byte was sent. */
+		/** No byte of the request was sent. */
 		NOT_SENT,
 
-		/** The endpoint said, under the right id, that it did not run the request. */
+		/** The endpoint reported, with the right id, that it did not run the request. */
 		REFUSED,
 
-		/** The engine can't go on with the broken answer. */
+		/** The engine can't resume the interrupted response. */
 		CANNOT_RESUME,
 
-		/** The engine refused the request itself. */
+		/** The engine rejected the request as invalid. */
 		REJECTED,
 
-		/** The engine answered with an error of its own. */
+		/** The engine responded with a server error. */
 		ERROR,
 
-		/** The answer carries another id. */
+		/** The response has another id. */
 		MISMATCH,
 
-		/** The answer is not whole. */
+		/** The response is incomplete, too large or malformed. */
 		BROKEN
 
 	}
@@ -312,49 +312,52 @@
 	}
 
 	/**
-	 * The data of an event; valid during a call only.
+	 * The data of an event; valid only during the callback.
 	 *
-	 * @param buffer holds the data
-	 * @param start where they start
-	 * @param end where they end
-	 * @param idStart where the id of the attempt stands
+	 * @param buffer the buffer that holds the data
+	 * @param start the offset of the data
+	 * @param end the offset after the data
+	 * @param idStart the offset of the exchange's id
 	 */
 	record EventData(byte[] buffer, int start, int end, int idStart) {
 	}
 
 	/**
-	 * Gets what an exchange yields.
+	 * Receives the results of an exchange.
 	 */
 	interface Owner {
 
-		/** Reading was paused for a slow caller. Called on the HTTP client's thread. */
+		/**
+		 * Handle a pause of reading for a slow caller; called on the HTTP client's
+		 * thread.
+		 */
 		void paused();
 
 		/**
-		 * Return whether the caller takes data.
-		 * @return whether to read on
+		 * Return whether the connection to the caller is writable.
+		 * @return whether to continue reading
 		 */
 		boolean isWritable();
 
 		/**
-		 * A token came.
+		 * Handle a token.
 		 * @param exchange the exchange
-		 * @param index its place in the whole answer
+		 * @param index the index of the token in the complete response
 		 * @param eventData the event
-		 * @return false if the answer can't be used
+		 * @return false if the response can't be used
 		 */
 		boolean acceptToken(EndpointExchange exchange, long index, EventData eventData);
 
 		/**
-		 * All that waited was read.
+		 * Handle the end of a batch: all available data was read.
 		 * @param exchange the exchange
 		 */
 		void progress(EndpointExchange exchange);
 
 		/**
-		 * The exchange ended.
+		 * Handle the end of the exchange.
 		 * @param exchange the exchange
-		 * @param outcome how
+		 * @param outcome how it ended
 		 */
 		void exchangeEnded(EndpointExchange exchange, Outcome outcome);
 
--- a/daemon/src/main/java/org/acaciacourse/daemon/entry/EntryCommand.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/entry/EntryCommand.java
@@ -18,7 +18,7 @@
 import org.acaciacourse.daemon.link.ThriftControlLink;
 
 /**
- * Runs an entry VM until a signal ends it.
+ * Runs an entry VM until the process receives a stop signal.
  * <p>
  * Not thread safe.
  */
--- a/daemon/src/main/java/org/acaciacourse/daemon/entry/EntryContext.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/entry/EntryContext.java
@@ -7,18 +7,18 @@
 import org.acaciacourse.daemon.telemetry.Traces;
 
 /**
- * What all requests of an entry VM share.
+ * The objects shared by all requests of an entry VM.
  * <p>
  * Immutable and thread safe.
  *
- * @param dispatchLoop the decision thread
- * @param client HTTP to the endpoints
- * @param link the link to the control VMs
+ * @param dispatchLoop the thread of the dispatcher
+ * @param client the HTTP client for endpoints
+ * @param link the connection to the control VMs
  * @param metrics the metrics
  * @param traces the traces
- * @param stallTimeouts how long an endpoint may make no progress
- * @param engineStarts when each engine was started
- * @param activeRequests the requests that are not ended
+ * @param stallTimeouts the time without progress after which an endpoint is queried
+ * @param engineStarts the start time of each engine
+ * @param activeRequests the requests that have not ended
  */
 record EntryContext(DispatchLoop dispatchLoop, EndpointClient client, ControlLink link, EntryMetrics metrics,
 		Traces traces, StallTimeouts stallTimeouts, EngineStarts engineStarts, ActiveRequests activeRequests) {
--- a/daemon/src/main/java/org/acaciacourse/daemon/entry/EntryDaemon.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/entry/EntryDaemon.java
@@ -37,11 +37,12 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * The daemon of an entry VM: callers' HTTP in, endpoints' HTTP out, carrying out the
- * decisions of the dispatcher. Its threads are the event loops for all HTTP, the decision
- * thread, the polling thread and the link's own.
+ * The daemon of an entry VM. It accepts HTTP requests from callers and sends them to the
+ * endpoints that the dispatcher selects. Its threads are the event loops for all HTTP,
+ * the thread of the dispatcher, the thread that polls the engines and the threads of the
+ * control link.
  * <p>
- * Thread safe. Started once and stopped once.
+ * Thread safe. Can be started once and stopped once.
  */
 public final class EntryDaemon {
 
@@ -73,7 +74,7 @@
 
 	private final CountDownLatch ready = new CountDownLatch(1);
 
-	/** Belongs to the thread of the link, once that is started. */
+	/** Accessed by the control link's thread only, once the link is started. */
 	private final SharerCount entryCounts = new SharerCount();
 
 	private AdminServer admin;
@@ -102,8 +103,8 @@
 		this.front = new HttpFront(settings, this.eventLoops, this.requestHandler);
 	}
 
-	// Callers and endpoints share the event loops: most tokens then pass from one
-	// connection to the other without waking another thread.
+	// Callers and endpoints share the event loops, so that most tokens are forwarded
+	// without waking another thread.
 	private static EventLoopGroup eventLoops() {
 		int threads = Math.max(1, Math.min(MAX_EVENT_LOOP_THREADS, Runtime.getRuntime().availableProcessors() / 4));
 		return EndpointClient.eventLoops(threads);
@@ -114,7 +115,7 @@
 	}
 
 	/**
-	 * Begin to serve. Callers are answered {@link ResultCode#NOT_READY} until the
+	 * Start serving. Requests are refused with {@link ResultCode#NOT_READY} until the
 	 * configuration is known to be the latest one.
 	 * @throws IOException if an address or a file can't be used
 	 */
@@ -146,9 +147,9 @@
 	}
 
 	/**
-	 * Return whether callers should be sent here.
-	 * @return whether the configuration is the latest and the VM neither stops nor is
-	 * marked as leaving
+	 * Return whether this VM should receive requests.
+	 * @return whether the configuration is the latest and the VM is neither stopping nor
+	 * drained by the manifest
 	 */
 	public boolean isReady() {
 		return this.ready.getCount() == 0 && !this.stopping && !this.drainedByManifest;
@@ -165,8 +166,10 @@
 	}
 
 	/**
-	 * Stop gracefully: everything that was accepted is answered.
-	 * @return {@link ResultCode#OK}, or {@link ResultCode#DRAIN_LIMIT} if work was cut
+	 * Stop gracefully: every accepted request is answered within the drain limit.
+	 * Requests that remain then are aborted.
+	 * @return {@link ResultCode#OK}, or {@link ResultCode#DRAIN_LIMIT} if requests were
+	 * aborted
 	 * @throws InterruptedException if the thread is interrupted
 	 */
 	public ResultCode stop() throws InterruptedException {
@@ -174,9 +177,10 @@
 	}
 
 	/**
-	 * Stop gracefully, unless told to hurry.
-	 * @param force whether to cut what is left at once
-	 * @return {@link ResultCode#OK}, or {@link ResultCode#DRAIN_LIMIT} if work was cut
+	 * Stop gracefully like {@link #stop()}, unless the stop is forced.
+	 * @param force whether to abort the remaining requests at once
+	 * @return {@link ResultCode#OK}, or {@link ResultCode#DRAIN_LIMIT} if requests were
+	 * aborted
 	 * @throws InterruptedException if the thread is interrupted
 	 */
 	public ResultCode stop(BooleanSupplier force) throws InterruptedException {
@@ -215,8 +219,9 @@
 		this.traces.close();
 	}
 
-	// A control VM that just started knows of few entries; their number would widen the
-	// limits many times.
+	// The dispatcher divides shared limits by the number of entry VMs. A control VM that
+	// has just started knows only a few of them, and with its count the limits would be
+	// many times too high, so the highest recent count is used.
 	private void updateEntryCount(int entryCount) {
 		this.entryCounts.told(entryCount, System.nanoTime());
 		int highest = this.entryCounts.highest();
@@ -241,7 +246,7 @@
 			.collect(Collectors.toMap(Endpoint::name, (endpoint) -> "http://" + endpoint.address().getAuthority()));
 	}
 
-	/** Takes over what control tells; called on the link's thread. */
+	/** Applies updates from the control VMs; called on the control link's thread. */
 	private final class ControlListener implements ControlLink.Listener {
 
 		@Override
@@ -262,8 +267,9 @@
 
 		@Override
 		public void crash(long contentHash, int crashes) {
-			// What was a suspicion before this VM started is settled or forgotten by now;
-			// taken for new, each restart would set endpoints aside for old suspects.
+			// Content that was suspected before this VM started has been blocked or
+			// cleared by now. If it were handled as new, each restart would set
+			// endpoints aside to run old suspects in isolation.
 			if (EntryDaemon.this.ready.getCount() > 0 && crashes < SuspectTable.CONVICTION) {
 				return;
 			}
@@ -282,7 +288,7 @@
 
 	}
 
-	/** Hands reports of the engines to the dispatcher. */
+	/** Forwards load and cache reports of the engines to the dispatcher. */
 	private final class EngineReportListener implements EndpointPoller.Listener {
 
 		@Override
--- a/daemon/src/main/java/org/acaciacourse/daemon/entry/EntryRequestHandler.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/entry/EntryRequestHandler.java
@@ -24,8 +24,8 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Takes requests from the callers' server: checks each against the configuration and
- * begins its exchange, or refuses it at once.
+ * Handles the requests that the HTTP server receives: checks each against the
+ * configuration and starts it, or refuses it at once.
  * <p>
  * Thread safe.
  */
@@ -48,14 +48,14 @@
 	}
 
 	/**
-	 * Take a configuration into force for the requests that come from now on.
+	 * Set the configuration for all requests that arrive from now on.
 	 * @param next the configuration
 	 */
 	void configure(Configuration next) {
 		this.configuration = next;
 	}
 
-	/** The configuration is known to be the latest one: serve. */
+	/** Start to accept requests, as the configuration is known to be the latest one. */
 	void upToDate() {
 		this.upToDate = true;
 	}
--- a/daemon/src/main/java/org/acaciacourse/daemon/entry/RequestClaim.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/entry/RequestClaim.java
@@ -9,8 +9,8 @@
 import org.acaciacourse.daemon.telemetry.Traces;
 
 /**
- * The claim of a request that runs at most once. Only a granted claim lets the request go
- * on; every other result answers the caller without a run.
+ * The claim of a request that runs at most once. The request is submitted only if its
+ * claim is granted; with any other result the caller is answered without running it.
  * <p>
  * Not thread safe: belongs to the event loop of the caller.
  */
@@ -35,7 +35,7 @@
 		this.request = request;
 	}
 
-	/** Ask for the claim. */
+	/** Request the claim from the control VMs. */
 	void acquire() {
 		Span span = this.context.traces().child("claim", this.request.span());
 		this.context.link()
@@ -81,16 +81,16 @@
 	}
 
 	/**
-	 * The request was answered.
-	 * @param response the encoded answer, empty if it is not kept
+	 * Complete the claim of a request that was answered.
+	 * @param response the encoded response, empty if it is not stored
 	 */
 	void completeWithResponse(byte[] response) {
 		complete(ClaimOutcome.ANSWERED, response);
 	}
 
 	/**
-	 * The request ended without a whole answer.
-	 * @param notRun whether it is proven not to have run
+	 * Complete the claim of a request that ended without a complete response.
+	 * @param notRun whether the request is proven not to have run
 	 */
 	void completeWithoutResponse(boolean notRun) {
 		complete((notRun) ? ClaimOutcome.NOT_RUN : ClaimOutcome.UNKNOWN, NO_RESPONSE);
--- a/daemon/src/main/java/org/acaciacourse/daemon/entry/RequestPlan.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/entry/RequestPlan.java
@@ -11,18 +11,18 @@
 import org.acaciacourse.core.state.ClaimKey;
 
 /**
- * A checked request: who sent it, which class and endpoints serve it, and what is to be
- * sent to the endpoint.
+ * A validated request: its customer, the class and the endpoint set that serve it, and
+ * the request to be sent to the endpoint.
  * <p>
- * Immutable and thread safe, as long as nobody writes to the body.
+ * Immutable and thread safe, provided that the body is not modified.
  *
  * @param customer the customer
- * @param requestClass the class
+ * @param requestClass the request class
  * @param endpointSet the endpoint set that serves it
- * @param outboundRequest what is to be sent to the endpoint
- * @param content what is known of the content
- * @param claim the key of its claim, if it runs at most once
- * @param deadline how long the answer is of use
+ * @param outboundRequest the request to be sent to the endpoint
+ * @param content hashes and token estimates of the content
+ * @param claim the key of its claim, if the request runs at most once
+ * @param deadline the time from arrival after which the response is of no use
  */
 record RequestPlan(Customer customer, RequestClass requestClass, EndpointSet endpointSet,
 		OutboundRequest outboundRequest, Content content, Optional<ClaimKey> claim, Duration deadline) {
@@ -38,25 +38,25 @@
 	}
 
 	/**
-	 * What is to be sent to the endpoint.
+	 * The request to be sent to an endpoint.
 	 *
 	 * @param method the HTTP method
-	 * @param target path and query
-	 * @param headers the headers to pass on
+	 * @param target the path and query
+	 * @param headers the headers to forward
 	 * @param body the body
-	 * @param stream whether the caller wants a stream of events
+	 * @param stream whether the caller requests an event stream
 	 */
 	record OutboundRequest(String method, String target, Map<String, String> headers, byte[] body, boolean stream) {
 	}
 
 	/**
-	 * What is known of the content.
+	 * Hashes and token estimates of the content of a request.
 	 *
 	 * @param hash a hash of the customer and the content, the same on every VM
 	 * @param digest a digest of method, path and body for the claim, empty without one
 	 * @param prefixHash a hash of the start of the prompt, 0 if it is too short
-	 * @param promptTokens an estimate of the tokens of the prompt
-	 * @param maxTokens the most tokens asked for, 0 if no bound was given
+	 * @param promptTokens the estimated number of tokens of the prompt
+	 * @param maxTokens the requested maximum of tokens, 0 if none was given
 	 */
 	record Content(long hash, String digest, long prefixHash, int promptTokens, int maxTokens) {
 	}
--- a/daemon/src/main/java/org/acaciacourse/daemon/entry/RequestPlanner.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/entry/RequestPlanner.java
@@ -21,10 +21,10 @@
 import org.acaciacourse.daemon.http.CallerRequest;
 
 /**
- * Checks a request against the configuration and makes a plan of it, or gives the code of
- * its refusal.
+ * Validates a request against the configuration and builds its plan, or returns the code
+ * of its refusal.
  * <p>
- * Thread safe: it has no state.
+ * Thread safe, as it has no state.
  */
 final class RequestPlanner {
 
@@ -45,7 +45,7 @@
 	}
 
 	/**
-	 * Find the customer of a request.
+	 * Return the customer of a request.
 	 * @param request the request
 	 * @param configuration the configuration
 	 * @return the customer or the refusal
@@ -59,9 +59,9 @@
 	}
 
 	/**
-	 * Make the plan of a request.
+	 * Build the plan of a request.
 	 * @param request the request
-	 * @param customer who sent it
+	 * @param customer the customer of the request
 	 * @param configuration the configuration
 	 * @return the plan or the refusal
 	 */
@@ -128,9 +128,10 @@
 	}
 
 	/*
-	 * A path in another spelling would miss the prefixes that mark calls as not to be
-	 * repeated, while the service still takes it for the same call. Only one spelling of
-	 * each path is let through, so that the marks can't be passed by.
+	 * A path in another spelling would not match the prefixes of calls that must not be
+	 * repeated, while the service would still treat it as the same call. Only the
+	 * canonical spelling of each path is accepted, so that the prefixes can't be
+	 * bypassed.
 	 */
 	private static boolean isCanonical(String path) {
 		return path.matches("(/[A-Za-z0-9._~!$&'()*+,;=:@-]*)+") && !path.contains("//")
--- a/daemon/src/main/java/org/acaciacourse/daemon/entry/RequestTelemetry.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/entry/RequestTelemetry.java
@@ -12,8 +12,7 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * What is written down of one request: metrics, spans and one line in the log. Prompts
- * and keys are not.
+ * The metrics, spans and the log line of one request. Prompts and keys are not recorded.
  * <p>
  * Not thread safe: belongs to the event loop of the caller.
  */
@@ -107,8 +106,8 @@
 			.put("class", this.plan.requestClass().name())
 			.put("trace", this.span.getSpanContext().getTraceId())
 			.put("code", Integer.toString(code.number()))) {
-			logger.info("ended after {} ms with {} tokens", (System.nanoTime() - this.arrivedAt) / 1_000_000,
-					this.receivedTokens);
+			logger.info("ended after {} ms with {} tokens",
+					(System.nanoTime() - this.arrivedAt) / 1_000_000, this.receivedTokens);
 		}
 	}
 
--- a/daemon/src/main/java/org/acaciacourse/daemon/entry/ResponseIdMatcher.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/entry/ResponseIdMatcher.java
@@ -10,9 +10,9 @@
 import com.fasterxml.jackson.core.JsonToken;
 
 /**
- * Finds the id in a JSON answer or chunk and compares it with that of the attempt. An
- * answer under another id belongs to another request, however it came to be on this
- * connection.
+ * Finds the id in a JSON response or chunk and compares it with the id of the exchange. A
+ * response with another id belongs to another request, however it got onto this
+ * connection, and must not be forwarded.
  * <p>
  * Immutable and thread safe.
  */
@@ -33,11 +33,11 @@
 	}
 
 	/**
-	 * Find the id.
-	 * @param buffer holds a JSON object
-	 * @param start where it starts
-	 * @param end where it ends
-	 * @return where the id starts; empty if it is missing or another one
+	 * Return the position of the id if it is the expected one.
+	 * @param buffer the buffer that holds a JSON object
+	 * @param start the offset of the object
+	 * @param end the offset after the object
+	 * @return the offset of the id, empty if the id is missing or differs
 	 */
 	OptionalInt findId(byte[] buffer, int start, int end) {
 		int idStart = start + COMMON_START.length;
@@ -63,7 +63,7 @@
 			}
 		}
 		catch (IOException ex) {
-			// Not JSON, so that it has no id: the same result as a missing one.
+			// Malformed JSON is treated like a missing id.
 		}
 		return OptionalInt.empty();
 	}
--- a/daemon/src/main/java/org/acaciacourse/daemon/entry/StallTimeouts.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/entry/StallTimeouts.java
@@ -4,12 +4,13 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * How long an endpoint may make no progress before it is asked about the request, learnt
- * from its peers: the mean and the mean deviation of the longest gap within an answer, as
- * the retransmission timer of TCP is learnt (Jacobson, 1988). A fixed bound would either
- * be too long for a fast engine or ask a slow one all the time.
+ * The time without progress after which an endpoint is queried for the status of a
+ * request. The timeout is estimated per endpoint set from the mean and the mean deviation
+ * of the longest gap within a response, like the retransmission timeout of TCP (Jacobson,
+ * 1988). A fixed timeout would either be too long for a fast engine or cause constant
+ * queries to a slow one.
  * <p>
- * Thread safe. It learns once for each answer, not for each token.
+ * Thread safe. Updated once per response, not per token.
  */
 final class StallTimeouts {
 
@@ -22,9 +23,9 @@
 	private final Map<String, GapStatistics> gaps = new ConcurrentHashMap<>();
 
 	/**
-	 * Return the bound between two tokens.
+	 * Return the longest time allowed between two tokens.
 	 * @param endpointSet the name of the endpoint set
-	 * @return the bound in nanoseconds
+	 * @return the timeout in nanoseconds
 	 */
 	long timeoutNanos(String endpointSet) {
 		GapStatistics gap = this.gaps.get(endpointSet);
@@ -33,7 +34,7 @@
 	}
 
 	/**
-	 * Learn from a whole answer.
+	 * Update the estimate with a complete response.
 	 * @param endpointSet the name of the endpoint set
 	 * @param longestGap the longest time between two tokens in nanoseconds
 	 */
--- a/daemon/src/main/java/org/acaciacourse/daemon/entry/StoredResponse.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/entry/StoredResponse.java
@@ -9,24 +9,24 @@
 import java.util.Optional;
 
 /**
- * The whole answer of a request that runs at most once, as it is kept with its claim.
+ * The complete response of a request that runs at most once, as stored with its claim.
  * <p>
- * Immutable and thread safe, as long as nobody writes to the body.
+ * Immutable and thread safe, provided that the body is not modified.
  *
  * @param status the HTTP status
  * @param contentType the content type
- * @param body the body; of a stream, all its events
+ * @param body the body; for a stream, all of its events
  */
 record StoredResponse(int status, String contentType, byte[] body) {
 
-	/** Largest body that is kept. */
+	/** Maximum size of a stored body in bytes. */
 	static final int MAX_BODY_BYTES = 256 * 1024;
 
 	private static final int FORMAT_VERSION = 1;
 
 	/**
-	 * Encode for the claim.
-	 * @return the bytes, empty if the body is too large to be kept
+	 * Encode the response for the claim.
+	 * @return the bytes, empty if the body is too large to be stored
 	 */
 	byte[] encode() {
 		if (this.body.length > MAX_BODY_BYTES) {
@@ -46,9 +46,9 @@
 	}
 
 	/**
-	 * Decode what was kept.
+	 * Decode a stored response.
 	 * @param bytes the bytes
-	 * @return the answer, empty if there is none or its format is unknown
+	 * @return the response, empty if there is none or its format is unknown
 	 */
 	static Optional<StoredResponse> decode(byte[] bytes) {
 		if (bytes.length == 0 || bytes[0] != FORMAT_VERSION) {
--- a/daemon/src/main/java/org/acaciacourse/daemon/entry/package-info.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/entry/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The entry daemon: the life of a request between caller, dispatcher and endpoints.
+ * The entry daemon: handles each request between caller, dispatcher and endpoints.
  */
 package org.acaciacourse.daemon.entry;
