--- a/daemon/src/test/java/org/acaciacourse/daemon/entry/CallerLimitsTests.java
+++ b/daemon/src/test/java/org/acaciacourse/daemon/entry/CallerLimitsTests.java
@@ -134,9 +134,9 @@
 			}
 		}
 
-		// The caller asks for a long answer and takes nothing of it. The daemon stops
-		// reading from the engine, so that the engine's writes stand still long before
-		// all of the answer is in memory; then the caller reads on and gets every
+		// The caller requests a long response and does not read it. The daemon must stop
+		// reading from the engine, so that the engine's writes block long before the
+		// whole response is in memory. When the caller reads again, it gets every
 		// token.
 		@Test
 		void slowCallerPausesReadingFromTheEngine() throws Exception {
--- a/daemon/src/test/java/org/acaciacourse/daemon/entry/ClaimTests.java
+++ b/daemon/src/test/java/org/acaciacourse/daemon/entry/ClaimTests.java
@@ -29,8 +29,8 @@
 	@Nested
 	class Granted {
 
-		// The caller sends a verdict, gets the answer, loses it and sends it again: the
-		// second time it gets the kept answer, and the service ran once.
+		// The caller loses the response and sends the same request again: it gets the
+		// stored response, and the service ran once.
 		@Test
 		void retryGetsTheStoredResponse() throws Exception {
 			try (FakeEndpoint service = new FakeEndpoint((call, n) -> call.respond(201, "posted " + n));
@@ -44,7 +44,7 @@
 			}
 		}
 
-		// A marked stream is kept whole, too.
+		// A stream that must not be repeated is stored with all its events, too.
 		@Test
 		void retryOfAStreamGetsAllItsEvents() throws Exception {
 			try (FakeEndpoint engine = new FakeEndpoint((call, n) -> call.stream(0, 3));
@@ -56,9 +56,10 @@
 			}
 		}
 
-		// The service takes the verdict and the connection breaks before the answer. It
-		// may have run: there is no second send, and the claim stays unknown for every
-		// resend.
+		// The service reads the request and the connection breaks before the response.
+		// The
+		// request may have run: it is not sent again, and every retry of the caller is
+		// refused because the outcome of the claim is unknown.
 		@Test
 		void requestWithLostResponseIsNeverRunAgain() throws Exception {
 			try (FakeEndpoint service = new FakeEndpoint((call, n) -> call.close());
@@ -70,8 +71,9 @@
 			}
 		}
 
-		// The service proves that it did not run the verdict: the claim is given back,
-		// and a resend may run.
+		// The service proves that it did not run the request: the claim is released, and
+		// a
+		// retry of the caller may run.
 		@Test
 		void provenRefusalReleasesTheClaim() throws Exception {
 			try (FakeEndpoint service = new FakeEndpoint((call, n) -> {
@@ -87,8 +89,9 @@
 			}
 		}
 
-		// The first call leaves a kept connection behind. A marked call does not use
-		// it: it may be dead, and then nobody could tell whether the call ran.
+		// The first call leaves a reusable connection. A call that must not be repeated
+		// does not use it: the connection may be dead, and then it would be unknown
+		// whether the call ran.
 		@Test
 		void notRepeatedCallUsesAFreshConnection() throws Exception {
 			try (FakeEndpoint service = new FakeEndpoint((call, n) -> call.respond(200, "ok"));
@@ -148,8 +151,8 @@
 			}
 		}
 
-		// Control has no quorum: the claim can't be committed, the caller is told at once
-		// that nothing ran, and no byte reaches the service.
+		// The control VMs have no quorum, so the claim can't be committed. The caller is
+		// answered at once that the request did not run, and no byte reaches the service.
 		@Test
 		void withoutQuorumNothingRuns() throws Exception {
 			try (FakeEndpoint service = new FakeEndpoint((call, n) -> call.respond(200, "ok"));
@@ -171,8 +174,9 @@
 			}
 		}
 
-		// Another spelling of a marked path would reach the same call of the service
-		// without its mark.
+		// Another spelling of a path that must not be repeated would reach the same call
+		// of
+		// the service without a claim.
 		@Test
 		void otherSpellingsOfAPathAreRefused() throws Exception {
 			try (EntryFixture entry = EntryFixture.with().start()) {
--- a/daemon/src/test/java/org/acaciacourse/daemon/entry/EntryFixture.java
+++ b/daemon/src/test/java/org/acaciacourse/daemon/entry/EntryFixture.java
@@ -20,7 +20,7 @@
 import org.acaciacourse.daemon.telemetry.Traces;
 
 /**
- * An entry daemon with fake endpoints and a fake link.
+ * An entry daemon with fake endpoints and a fake control link.
  * <p>
  * Not thread safe: belongs to one test.
  */
@@ -128,9 +128,9 @@
 	}
 
 	/**
-	 * Return the text of a stream of events.
+	 * Return the text of an event stream.
 	 * @param stream the stream
-	 * @return the contents of all tokens
+	 * @return the concatenated contents of all tokens
 	 */
 	static String tokens(String stream) {
 		StringBuilder text = new StringBuilder();
@@ -146,7 +146,7 @@
 		this.daemon.stop(() -> true);
 	}
 
-	/** Makes a fixture. */
+	/** Builds a fixture. */
 	static final class Builder {
 
 		private final List<FakeEndpoint> endpoints;
--- a/daemon/src/test/java/org/acaciacourse/daemon/entry/FakeEndpoint.java
+++ b/daemon/src/test/java/org/acaciacourse/daemon/entry/FakeEndpoint.java
@@ -18,21 +18,21 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * An endpoint over plain sockets whose every byte is chosen by the test.
+ * An endpoint on plain sockets; the test controls every byte that it sends.
  * <p>
- * Thread safe: each connection has a thread.
+ * Thread safe; each connection has its own thread.
  */
 final class FakeEndpoint implements AutoCloseable {
 
 	private static final String REQUESTS = "/v1/requests/";
 
-	/** The requests that were received, but for questions and reports. */
+	/** The received requests, except status queries, load reports and cache reports. */
 	final List<Call> calls = new CopyOnWriteArrayList<>();
 
-	/** What the endpoint says of requests by id. */
+	/** The responses to status queries, by request id. */
 	final Map<String, String> states = new ConcurrentHashMap<>();
 
-	/** The ids that were cancelled. */
+	/** The ids of cancelled requests. */
 	final LinkedBlockingQueue<String> cancelled = new LinkedBlockingQueue<>();
 
 	private final ServerSocket server;
@@ -59,7 +59,7 @@
 				task.run();
 			}
 			catch (IOException ex) {
-				// The other side or the test closed the socket: the thread ends.
+				// The peer or the test closed the socket: the thread ends.
 			}
 		});
 		thread.setDaemon(true);
@@ -124,7 +124,7 @@
 		}
 	}
 
-	/** What the endpoint does with a request. */
+	/** Responds to the requests of the endpoint. */
 	@FunctionalInterface
 	interface Behaviour {
 
@@ -139,7 +139,7 @@
 
 	}
 
-	/** One request and the connection it came over. */
+	/** One request and the connection on which it was received. */
 	static final class Call {
 
 		final String method;
--- a/daemon/src/test/java/org/acaciacourse/daemon/entry/FakeLink.java
+++ b/daemon/src/test/java/org/acaciacourse/daemon/entry/FakeLink.java
@@ -17,7 +17,7 @@
 import org.acaciacourse.protocol.generated.ClassReport;
 
 /**
- * A link whose control VMs are a map in memory.
+ * A control link that keeps the claims in memory.
  * <p>
  * Thread safe.
  */
@@ -27,7 +27,7 @@
 
 	private final Map<ClaimKey, String> contentHashes = new ConcurrentHashMap<>();
 
-	/** The outcomes of completed claims, in their order. */
+	/** The outcomes of completed claims, in order of completion. */
 	final LinkedBlockingQueue<ClaimOutcome> completed = new LinkedBlockingQueue<>();
 
 	private final Manifest manifest;
--- a/daemon/src/test/java/org/acaciacourse/daemon/entry/HostileEndpointTests.java
+++ b/daemon/src/test/java/org/acaciacourse/daemon/entry/HostileEndpointTests.java
@@ -14,10 +14,9 @@
 	@Nested
 	class MismatchedIds {
 
-		// The caller sees its own answer. The first attempt gets an answer under the id
-		// of another request, in the header; the daemon discards it, closes the
-		// connection and asks again. Without the check the caller would get another
-		// one's summary.
+		// The first attempt gets a response whose header has the id of another request.
+		// The daemon discards it, closes the connection and retries. Without the check
+		// the caller would get the response of another request.
 		@Test
 		void responseWithAnotherIdInTheHeaderIsDiscarded() throws Exception {
 			try (FakeEndpoint engine = new FakeEndpoint(
@@ -31,7 +30,7 @@
 			}
 		}
 
-		// The same with a right header and the foreign id inside the JSON only.
+		// As above, but the header has the right id and only the JSON has another one.
 		@Test
 		void responseWithAnotherIdInTheBodyIsDiscarded() throws Exception {
 			try (FakeEndpoint engine = new FakeEndpoint((call, n) -> call.respond(200,
@@ -41,8 +40,8 @@
 			}
 		}
 
-		// A foreign token comes in the middle of a stream. It is not passed on; the rerun
-		// skips the two tokens that the caller has.
+		// A token with another id arrives in the middle of a stream. It is not forwarded,
+		// and the rerun skips the two tokens that the caller already has.
 		@Test
 		void streamedTokenWithAnotherIdIsNotForwarded() throws Exception {
 			try (FakeEndpoint engine = new FakeEndpoint((call, n) -> {
@@ -66,8 +65,8 @@
 	@Nested
 	class BrokenResponses {
 
-		// The body is cut in the middle and the connection closed. The caller never sees
-		// the half: it gets the answer of the second attempt.
+		// The body is truncated and the connection closed. The caller does not see the
+		// partial body: it gets the response of the second attempt.
 		@Test
 		void truncatedResponseIsNotForwarded() throws Exception {
 			try (FakeEndpoint engine = new FakeEndpoint((call, n) -> {
@@ -82,8 +81,9 @@
 			}
 		}
 
-		// A body without a length ends when the connection does, so that its end proves
-		// nothing: it is not taken for whole, however often it comes.
+		// A body without a length ends with the connection, which does not prove that it
+		// is
+		// complete. It is never forwarded, even if every attempt gets the same.
 		@Test
 		void responseWithoutProvenEndIsNotForwarded() throws Exception {
 			try (FakeEndpoint service = new FakeEndpoint((call, n) -> {
@@ -96,9 +96,10 @@
 			}
 		}
 
-		// The stream breaks after two tokens while the engine runs on. The daemon asks
-		// about the request, then goes on over a new connection after the last token: no
-		// token twice, none missing, and no second run.
+		// The stream breaks after two tokens while the engine continues. The daemon
+		// queries
+		// the status of the request and resumes over a new connection after the last
+		// token: no token is repeated or missing, and there is no second run.
 		@Test
 		void brokenStreamIsResumedOnTheSameEngine() throws Exception {
 			FakeEndpoint[] engine = new FakeEndpoint[1];
@@ -123,9 +124,9 @@
 			}
 		}
 
-		// The connection goes silent after two tokens and stays open. Nothing tells TCP;
-		// the daemon asks over a new connection, learns that the engine is ahead,
-		// resumes.
+		// The connection stalls after two tokens and stays open, so TCP reports no error.
+		// The daemon queries the status over a new connection, sees that the engine has
+		// more tokens, and resumes.
 		@Test
 		void silentStreamIsResumedOverANewConnection() throws Exception {
 			FakeEndpoint[] engine = new FakeEndpoint[1];
@@ -145,8 +146,9 @@
 			}
 		}
 
-		// An engine repeats a token and leaves another out. The repeated one is skipped;
-		// after the gap the attempt is not used any more and a rerun fills it.
+		// An engine repeats a token and omits another. The repeated token is skipped; at
+		// the
+		// gap the attempt is abandoned, and a rerun supplies the missing token.
 		@Test
 		void repeatedAndMissingTokensAreCorrected() throws Exception {
 			try (FakeEndpoint engine = new FakeEndpoint((call, n) -> {
@@ -166,8 +168,9 @@
 			}
 		}
 
-		// The caller asked for a stream and the rerun yields a plain answer, which can't
-		// follow the tokens that the caller has: it counts as an error of the engine.
+		// The caller requested a stream and the rerun gets a non-streaming response,
+		// which
+		// can't continue the forwarded tokens. It is handled as an error of the engine.
 		@Test
 		void nonStreamingResponseDoesNotContinueAStream() throws Exception {
 			try (FakeEndpoint engine = new FakeEndpoint((call, n) -> {
@@ -185,8 +188,10 @@
 			}
 		}
 
-		// Neither resume nor rerun is possible: the caller gets an error object inside
-		// the stream and no end mark, so that it can't take the half for the whole.
+		// Neither resume nor rerun is possible: the caller gets an error event in the
+		// stream
+		// and no end marker, so that it can't mistake the partial response for a complete
+		// one.
 		@Test
 		void streamThatCannotContinueEndsWithAnError() throws Exception {
 			try (FakeEndpoint engine = new FakeEndpoint((call, n) -> {
@@ -206,8 +211,8 @@
 	@Nested
 	class RunState {
 
-		// The endpoint refuses under the attempt's own id, each time: the caller may be
-		// told that nothing ran.
+		// The endpoint refuses every attempt with the attempt's own id, which proves that
+		// the request did not run.
 		@Test
 		void refusalWithTheRightIdIsReportedAsNotRun() throws Exception {
 			try (FakeEndpoint engine = new FakeEndpoint((call, n) -> call.refuse(call.id()));
@@ -216,7 +221,7 @@
 			}
 		}
 
-		// The endpoint refuses under another request's id, which proves nothing about
+		// The endpoint refuses with the id of another request, which proves nothing about
 		// this one.
 		@Test
 		void refusalWithAnotherIdIsReportedAsUnknown() throws Exception {
@@ -226,7 +231,7 @@
 			}
 		}
 
-		// Nothing listens at the endpoint's address: no byte can have reached it.
+		// Nothing listens on the endpoint's address: no byte can have reached it.
 		@Test
 		void unreachableEndpointIsReportedAsNotRun() throws Exception {
 			FakeEndpoint engine = new FakeEndpoint((call, n) -> call.close());
@@ -236,7 +241,7 @@
 			}
 		}
 
-		// The engine takes the request and closes without a word: it may have run.
+		// The engine reads the request and closes without a response: it may have run.
 		@Test
 		void lostConnectionIsReportedAsUnknown() throws Exception {
 			try (FakeEndpoint engine = new FakeEndpoint((call, n) -> call.close());
@@ -245,8 +250,8 @@
 			}
 		}
 
-		// The engine says that the request itself is at fault: the caller gets that
-		// answer and there is no second attempt.
+		// The engine rejects the request as invalid: the caller gets that response, and
+		// there is no second attempt.
 		@Test
 		void rejectionIsForwarded() throws Exception {
 			try (FakeEndpoint engine = new FakeEndpoint((call, n) -> call.respond(400, "{\"error\":\"no\"}"));
@@ -263,8 +268,8 @@
 	@Nested
 	class CallerGone {
 
-		// The caller closes its connection in the middle of a stream. The engine is told
-		// to stop, so that it does not compute for nobody.
+		// The caller closes its connection in the middle of a stream. The request is
+		// cancelled at the engine, so that it does not compute an unwanted response.
 		@Test
 		void requestIsCancelledAtTheEngine() throws Exception {
 			CountDownLatch started = new CountDownLatch(1);
--- a/daemon/src/test/java/org/acaciacourse/daemon/entry/Http2Client.java
+++ b/daemon/src/test/java/org/acaciacourse/daemon/entry/Http2Client.java
@@ -36,7 +36,7 @@
  */
 final class Http2Client implements AutoCloseable {
 
-	/** Ends when the server says that it takes no more streams. */
+	/** Completes when the server sends a GOAWAY frame. */
 	final CompletableFuture<Void> goAway = new CompletableFuture<>();
 
 	private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -91,7 +91,7 @@
 
 	}
 
-	/** Collects the status and the body of one answer. */
+	/** Collects the status and the body of one response. */
 	private static final class Collector extends SimpleChannelInboundHandler<Http2StreamFrame> {
 
 		private final CompletableFuture<String> response;
@@ -120,7 +120,8 @@
 
 		@Override
 		public void channelInactive(ChannelHandlerContext ctx) {
-			this.response.completeExceptionally(new IllegalStateException("cut: " + this.text));
+			this.response
+				.completeExceptionally(new IllegalStateException("cut: " + this.text));
 		}
 
 	}
--- a/daemon/src/test/java/org/acaciacourse/daemon/entry/LeastLoadedDispatcher.java
+++ b/daemon/src/test/java/org/acaciacourse/daemon/entry/LeastLoadedDispatcher.java
@@ -17,8 +17,8 @@
 import org.acaciacourse.core.model.Manifest;
 
 /**
- * A small dispatcher for tests of the daemon: the endpoint with the fewest attempts, two
- * retries, the deadline, and nothing else.
+ * A minimal dispatcher for tests of the daemon. It selects the endpoint with the fewest
+ * attempts, retries twice and enforces the deadline.
  * <p>
  * Not thread safe: one thread calls it.
  */
--- a/daemon/src/test/java/org/acaciacourse/daemon/entry/ShutdownTests.java
+++ b/daemon/src/test/java/org/acaciacourse/daemon/entry/ShutdownTests.java
@@ -51,9 +51,10 @@
 	@Nested
 	class Graceful {
 
-		// The stop comes in the middle of two streams, one over HTTP/1.1 and one over
-		// HTTP/2. The VM is not ready at once, HTTP/2 gets GOAWAY, both streams are
-		// answered whole, and only then the daemon ends.
+		// The daemon is stopped in the middle of two streams, one over HTTP/1.1 and one
+		// over
+		// HTTP/2. It reports not ready at once and sends GOAWAY over HTTP/2; both streams
+		// are completed, and only then the daemon stops.
 		@Test
 		void openStreamsAreCompleted() throws Exception {
 			CountDownLatch started = new CountDownLatch(2);
@@ -77,7 +78,9 @@
 			}
 		}
 
-		// A kept connection would bring the caller back to a VM that is leaving.
+		// On a persistent connection the caller would send its next request to a VM that
+		// is
+		// stopping.
 		@Test
 		void responsesDuringShutdownCloseTheirConnection() throws Exception {
 			CountDownLatch started = new CountDownLatch(1);
@@ -104,8 +107,9 @@
 	@Nested
 	class Forced {
 
-		// A second signal ends the drain: the caller sees an error inside its stream, no
-		// end mark, and the daemon says that it cut work.
+		// A second signal ends the drain: the caller gets an error event in its stream
+		// and
+		// no end marker, and the daemon returns the code for aborted requests.
 		@Test
 		void remainingRequestsAreAbortedWithACode() throws Exception {
 			CountDownLatch started = new CountDownLatch(1);
--- a/daemon/src/test/java/org/acaciacourse/daemon/entry/TelemetryTests.java
+++ b/daemon/src/test/java/org/acaciacourse/daemon/entry/TelemetryTests.java
@@ -21,7 +21,7 @@
 
 	private static final String TRACE = "0af7651916cd43dd8448eb211c80319c";
 
-	// The caller sees the end of its answer before the entry counts it.
+	// The caller gets the end of the response before the entry daemon counts it.
 	private static String awaitMetrics(EntryFixture entry, String line) throws Exception {
 		long end = System.nanoTime() + Duration.ofSeconds(20).toNanos();
 		String page = entry.metrics();
@@ -104,7 +104,7 @@
 
 	}
 
-	/** Keeps spans in memory. */
+	/** Records spans in memory. */
 	private static final class Recorder implements SpanExporter {
 
 		private final List<SpanData> spans = Collections.synchronizedList(new ArrayList<>());
--- a/daemon/src/test/java/org/acaciacourse/daemon/entry/TlsTests.java
+++ b/daemon/src/test/java/org/acaciacourse/daemon/entry/TlsTests.java
@@ -74,8 +74,9 @@
 	@Nested
 	class Served {
 
-		// The operators renew the certificate under a running daemon: new connections get
-		// the new one, without a restart.
+		// The certificate files are replaced while the daemon runs: new connections use
+		// the
+		// new certificate without a restart.
 		@Test
 		void http2IsNegotiatedAndARenewedCertificateIsUsed(@TempDir Path folder) throws Exception {
 			writeFiles(folder, 1);
@@ -97,7 +98,7 @@
 
 	}
 
-	/** Trusts the certificate of the test. */
+	/** Accepts every certificate. */
 	private static final class TrustAll extends X509ExtendedTrustManager {
 
 		@Override
