--- a/daemon/src/main/java/org/acaciacourse/daemon/entry/Configuration.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/entry/Configuration.java
@@ -48,7 +48,7 @@
 			return MessageDigest.getInstance("SHA-256");
 		}
 		catch (NoSuchAlgorithmException ex) {
-			throw new IllegalStateException("every Java platform has SHA-256", ex);
+			throw new IllegalStateException("SHA-256 is not available, though every Java platform must provide it", ex);
 		}
 	}
 
--- a/daemon/src/main/java/org/acaciacourse/daemon/entry/DispatchLoop.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/entry/DispatchLoop.java
@@ -196,7 +196,7 @@
 			event.apply(this.dispatcher, now());
 		}
 		catch (RuntimeException ex) {
-			logger.error("{} in the decision thread", ResultCode.INTERNAL.number(), ex);
+			logger.error("{} uncaught exception in the dispatcher thread", ResultCode.INTERNAL.number(), ex);
 		}
 	}
 
--- a/daemon/src/main/java/org/acaciacourse/daemon/entry/EntryCommand.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/entry/EntryCommand.java
@@ -22,7 +22,7 @@
  * <p>
  * Not thread safe.
  */
-@Parameters(commandDescription = "Run an entry VM: callers' requests in, endpoints' answers out")
+@Parameters(commandDescription = "Run an entry VM: forward callers' requests to endpoints")
 public final class EntryCommand implements Command {
 
 	@Parameter(names = "--settings", required = true, description = "Settings file")
--- a/daemon/src/main/java/org/acaciacourse/daemon/entry/EntryDaemon.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/entry/EntryDaemon.java
@@ -127,7 +127,7 @@
 				this::isReady);
 		this.front.start();
 		this.link.start(new ControlListener(), this.metrics.results()::reports);
-		logger.info("entry listens on port {}", port());
+		logger.info("entry daemon listening on port {}", port());
 	}
 
 	/**
@@ -201,7 +201,7 @@
 	private void abortRemaining() throws InterruptedException {
 		List<ActiveRequest> remaining = List.copyOf(this.activeRequests.requests());
 		remaining.forEach((request) -> {
-			logger.warn("{} cut request {}", ResultCode.DRAIN_LIMIT.number(), request.requestId());
+			logger.warn("{} aborted request {} while stopping", ResultCode.DRAIN_LIMIT.number(), request.requestId());
 			request.executor().execute(request::abortForShutdown);
 		});
 		StopWait.until(() -> false, Duration.ofSeconds(1),
--- a/daemon/src/main/java/org/acaciacourse/daemon/entry/EntryRequestHandler.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/entry/EntryRequestHandler.java
@@ -112,7 +112,7 @@
 		refused(code);
 		try (CloseableThreadContext.Instance fields = CloseableThreadContext.put("request", requestId)
 			.put("code", Integer.toString(code.number()))) {
-			logger.info("refused on arrival");
+			logger.info("request refused on arrival");
 		}
 		response.refuse(Refusal.notRun(code), requestId);
 	}
--- a/daemon/src/main/java/org/acaciacourse/daemon/entry/RequestTelemetry.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/entry/RequestTelemetry.java
@@ -106,7 +106,7 @@
 			.put("class", this.plan.requestClass().name())
 			.put("trace", this.span.getSpanContext().getTraceId())
 			.put("code", Integer.toString(code.number()))) {
-			logger.info("ended after {} ms with {} tokens",
+			logger.info("request ended after {} ms, {} tokens received",
 					(System.nanoTime() - this.arrivedAt) / 1_000_000, this.receivedTokens);
 		}
 	}
--- a/daemon/src/test/java/org/acaciacourse/daemon/entry/Http2Client.java
+++ b/daemon/src/test/java/org/acaciacourse/daemon/entry/Http2Client.java
@@ -121,7 +121,7 @@
 		@Override
 		public void channelInactive(ChannelHandlerContext ctx) {
 			this.response
-				.completeExceptionally(new IllegalStateException("cut: " + this.text));
+				.completeExceptionally(new IllegalStateException("stream closed before its end: " + this.text));
 		}
 
 	}
--- a/daemon/src/test/java/org/acaciacourse/daemon/entry/ShutdownTests.java
+++ b/daemon/src/test/java/org/acaciacourse/daemon/entry/ShutdownTests.java
@@ -29,7 +29,7 @@
 	private static void await(CountDownLatch latch) {
 		try {
 			if (!latch.await(20, TimeUnit.SECONDS)) {
-				throw new IllegalStateException("not reached in time");
+				throw new IllegalStateException("latch not released within 20 s");
 			}
 		}
 		catch (InterruptedException ex) {
