--- a/daemon/src/main/java/org/acaciacourse/daemon/entry/EntryDaemon.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/entry/EntryDaemon.java
@@ -39,7 +39,7 @@
 /**
  * The daemon of an entry VM. It accepts HTTP requests from callers and sends them to the
  * endpoints that the dispatcher selects. Its threads are the event loops for all HTTP,
- * the thread of the dispatcher, the thread that polls the engines and the threads of the
+ * the thread of the dispatcher, the thread that polls the engines and the thread of the
  * control link.
  * <p>
  * Thread safe. Can be started once and stopped once.
