--- a/core/src/main/java/org/acaciacourse/core/consensus/Election.java
+++ b/core/src/main/java/org/acaciacourse/core/consensus/Election.java
@@ -19,13 +19,13 @@
 	 * refuse the pre-vote. Long enough for a vote in a process that runs each step for
 	 * the first time, some tens of milliseconds.
 	 */
-	private static final double EARLY_SHARE = 0.12;
+	private static final double NO_LEADER_TIMEOUT_RATIO = 0.12;
 
 	/**
 	 * The part of the timeout after which the first of the voters stands for the first
 	 * time after its start.
 	 */
-	private static final double FIRST_SHARE = 0.06;
+	private static final double INITIAL_TIMEOUT_RATIO = 0.06;
 
 	/**
 	 * How much longer each further voter waits the first time. When all start at once,
@@ -33,52 +33,52 @@
 	 * round costs a tenth of a second. The order lasts for the first timer only: voters
 	 * that were not reached then go on by chance.
 	 */
-	private static final double STEP_SHARE = 0.08;
+	private static final double INITIAL_TIMEOUT_STEP_RATIO = 0.08;
 
 	/**
 	 * The number of shortest election timeouts without a leader after which a voter asks
 	 * to join again. An election that the voters can win is over by then.
 	 */
-	private static final int LEADERLESS_TIMEOUTS = 2;
+	private static final int LEADERLESS_TIMEOUT_FACTOR = 2;
 
 	private final long timeoutNanos;
 
 	private final Random random;
 
-	private final Set<ReplicaId> granted = new HashSet<>();
+	private final Set<ReplicaId> votes = new HashSet<>();
 
 	private long deadline;
 
-	private long leaderSeen;
+	private long lastLeaderContact;
 
-	private boolean leaderEverSeen;
+	private boolean leaderContacted;
 
 	/**
 	 * Make the timer of a replica that starts.
 	 * @param timeoutNanos the shortest election timeout
 	 * @param seed the seed of the timers' lengths
-	 * @param position how many voters go before this replica in the order of identities
+	 * @param rank how many voters go before this replica in the order of identities
 	 * @param now the time
 	 */
-	Election(long timeoutNanos, long seed, int position, long now) {
+	Election(long timeoutNanos, long seed, int rank, long now) {
 		this.timeoutNanos = timeoutNanos;
 		this.random = new Random(seed);
-		this.leaderSeen = now;
-		this.deadline = now + (long) ((FIRST_SHARE + position * STEP_SHARE) * timeoutNanos);
+		this.lastLeaderContact = now;
+		this.deadline = now + (long) ((INITIAL_TIMEOUT_RATIO + rank * INITIAL_TIMEOUT_STEP_RATIO) * timeoutNanos);
 	}
 
 	void restartTimer(long now) {
-		double share = (this.leaderEverSeen) ? 1 : EARLY_SHARE;
-		this.deadline = now + (long) (share * (1 + this.random.nextDouble()) * this.timeoutNanos);
+		double ratio = (this.leaderContacted) ? 1 : NO_LEADER_TIMEOUT_RATIO;
+		this.deadline = now + (long) (ratio * (1 + this.random.nextDouble()) * this.timeoutNanos);
 	}
 
-	boolean isDue(long now) {
+	boolean isTimerExpired(long now) {
 		return now >= this.deadline;
 	}
 
-	void leaderSeen(long now) {
-		this.leaderSeen = now;
-		this.leaderEverSeen = true;
+	void recordLeaderContact(long now) {
+		this.lastLeaderContact = now;
+		this.leaderContacted = true;
 		restartTimer(now);
 	}
 
@@ -89,8 +89,8 @@
 	 * @param now the time
 	 * @return whether it was
 	 */
-	boolean isLeaderRecent(long now) {
-		return this.leaderEverSeen && now - this.leaderSeen < this.timeoutNanos;
+	boolean hasRecentLeaderContact(long now) {
+		return this.leaderContacted && now - this.lastLeaderContact < this.timeoutNanos;
 	}
 
 	/**
@@ -98,25 +98,25 @@
 	 * from the start of this replica if there was none. A voter in this state may have
 	 * been removed from the membership.
 	 * @param now the time
-	 * @return whether at least {@value #LEADERLESS_TIMEOUTS} of the shortest election
-	 * timeouts have passed without a leader
+	 * @return whether at least {@value #LEADERLESS_TIMEOUT_FACTOR} of the shortest
+	 * election timeouts have passed without a leader
 	 */
 	boolean isLeaderless(long now) {
-		return now - this.leaderSeen >= LEADERLESS_TIMEOUTS * this.timeoutNanos;
+		return now - this.lastLeaderContact >= LEADERLESS_TIMEOUT_FACTOR * this.timeoutNanos;
 	}
 
-	void begin(ReplicaId self, long now) {
-		this.granted.clear();
-		this.granted.add(self);
+	void start(ReplicaId self, long now) {
+		this.votes.clear();
+		this.votes.add(self);
 		restartTimer(now);
 	}
 
-	void grantedBy(ReplicaId voter) {
-		this.granted.add(voter);
+	void recordVote(ReplicaId voter) {
+		this.votes.add(voter);
 	}
 
 	Set<ReplicaId> grantingVoters() {
-		return Set.copyOf(this.granted);
+		return Set.copyOf(this.votes);
 	}
 
 	/**
@@ -126,7 +126,7 @@
 	 * @return whether a quorum granted it
 	 */
 	boolean isWon(Membership membership) {
-		return membership.isQuorum(this.granted);
+		return membership.isQuorum(this.votes);
 	}
 
 }
--- a/core/src/main/java/org/acaciacourse/core/consensus/LogView.java
+++ b/core/src/main/java/org/acaciacourse/core/consensus/InMemoryLog.java
@@ -15,7 +15,7 @@
  * <p>
  * Not thread safe: belongs to one {@link Replica}.
  */
-final class LogView {
+final class InMemoryLog {
 
 	private final List<LogEntry> entries = new ArrayList<>();
 
@@ -27,19 +27,19 @@
 
 	private long durableIndex;
 
-	LogView(RecoveredLog recovered) {
+	InMemoryLog(RecoveredLog recovered) {
 		this.snapshot = recovered.snapshot();
-		this.snapshot.ifPresent(this::rebase);
+		this.snapshot.ifPresent(this::setSnapshot);
 		append(recovered.entries());
 		this.durableIndex = lastIndex();
 	}
 
-	long baseIndex() {
+	long snapshotIndex() {
 		return this.snapshot.map(Snapshot::index).orElse(0L);
 	}
 
 	long lastIndex() {
-		return baseIndex() + this.entries.size();
+		return snapshotIndex() + this.entries.size();
 	}
 
 	long lastTerm() {
@@ -60,18 +60,18 @@
 	 * @return the term, 0 before the first entry, -1 if the log does not hold it
 	 */
 	long term(long index) {
-		long base = baseIndex();
-		if (index < base || index > lastIndex()) {
+		long snapshotIndex = snapshotIndex();
+		if (index < snapshotIndex || index > lastIndex()) {
 			return -1;
 		}
-		if (index == base) {
+		if (index == snapshotIndex) {
 			return this.snapshot.map(Snapshot::term).orElse(0L);
 		}
 		return get(index).term();
 	}
 
 	LogEntry get(long index) {
-		return this.entries.get((int) (index - baseIndex() - 1));
+		return this.entries.get((int) (index - snapshotIndex() - 1));
 	}
 
 	/**
@@ -105,16 +105,16 @@
 		if (index > lastIndex()) {
 			return lastIndex();
 		}
-		long conflicting = term(index);
+		long conflictTerm = term(index);
 		long match = index;
-		while (match > commitIndex && term(match) == conflicting) {
+		while (match > commitIndex && term(match) == conflictTerm) {
 			match--;
 		}
 		return match;
 	}
 
-	void append(List<LogEntry> added) {
-		for (LogEntry entry : added) {
+	void append(List<LogEntry> newEntries) {
+		for (LogEntry entry : newEntries) {
 			if (entry.index() != lastIndex() + 1) {
 				throw new IllegalStateException("entry " + entry.index() + " does not follow " + lastIndex());
 			}
@@ -127,7 +127,7 @@
 	}
 
 	void truncateFrom(long index) {
-		this.entries.subList((int) (index - baseIndex() - 1), this.entries.size()).clear();
+		this.entries.subList((int) (index - snapshotIndex() - 1), this.entries.size()).clear();
 		this.memberships.tailMap(index, true).clear();
 		this.membership = membershipAt(index);
 		this.durableIndex = Math.min(this.durableIndex, lastIndex());
@@ -139,25 +139,25 @@
 	 * @param index the last durable entry
 	 * @param term its term
 	 */
-	void durable(long index, long term) {
+	void markDurable(long index, long term) {
 		if (index > this.durableIndex && term(index) == term) {
 			this.durableIndex = index;
 		}
 	}
 
 	void compact(Snapshot next) {
-		if (next.index() <= baseIndex()) {
+		if (next.index() <= snapshotIndex()) {
 			return;
 		}
-		this.entries.subList(0, (int) (next.index() - baseIndex())).clear();
-		rebase(next);
+		this.entries.subList(0, (int) (next.index() - snapshotIndex())).clear();
+		setSnapshot(next);
 		this.durableIndex = Math.max(this.durableIndex, next.index());
 	}
 
 	void install(Snapshot next) {
 		this.entries.clear();
 		this.memberships.clear();
-		rebase(next);
+		setSnapshot(next);
 		this.durableIndex = next.index();
 	}
 
@@ -179,7 +179,7 @@
 		return (last != null) ? last.getValue() : new Membership(List.of());
 	}
 
-	private void rebase(Snapshot next) {
+	private void setSnapshot(Snapshot next) {
 		this.snapshot = Optional.of(next);
 		this.memberships.headMap(next.index(), true).clear();
 		this.memberships.put(next.index(), next.membership());
--- a/core/src/main/java/org/acaciacourse/core/consensus/Leadership.java
+++ b/core/src/main/java/org/acaciacourse/core/consensus/Leadership.java
@@ -25,7 +25,7 @@
 
 	private final long term;
 
-	private final LogView log;
+	private final InMemoryLog log;
 
 	private final ReplicaTiming timing;
 
@@ -41,14 +41,14 @@
 
 	private long commitIndex;
 
-	private Optional<ReplicaId> successor = Optional.empty();
+	private Optional<ReplicaId> transferTarget = Optional.empty();
 
 	private long transferDeadline;
 
-	private boolean timeoutSent;
+	private boolean timeoutNowSent;
 
-	Leadership(ReplicaId self, long term, LogView log, ReplicaTiming timing, ReplicaActions actions, long commitIndex,
-			long now) {
+	Leadership(ReplicaId self, long term, InMemoryLog log, ReplicaTiming timing, ReplicaActions actions,
+			long commitIndex, long now) {
 		this.self = self;
 		this.term = term;
 		this.log = log;
@@ -61,23 +61,23 @@
 	}
 
 	long propose(long proposalId, byte[] command, long now) {
-		if (this.successor.isPresent() || this.proposals.size() >= MAX_PROPOSALS) {
+		if (this.transferTarget.isPresent() || this.proposals.size() >= MAX_PROPOSALS) {
 			return -1;
 		}
 		long index = append(LogEntry.Kind.COMMAND, command);
 		this.proposals.put(index, proposalId);
-		this.replication.sendToIdle(this.commitIndex, now);
+		this.replication.sendToIdleFollowers(this.commitIndex, now);
 		return index;
 	}
 
 	long changeMembership(long proposalId, Membership next, long now) {
-		boolean settled = this.commitIndex >= this.noopIndex && this.log.membershipIndex() <= this.commitIndex;
-		if (!settled || this.successor.isPresent() || !this.log.membership().isOneStepBefore(next)) {
+		boolean changeAllowed = this.commitIndex >= this.noopIndex && this.log.membershipIndex() <= this.commitIndex;
+		if (!changeAllowed || this.transferTarget.isPresent() || !this.log.membership().isSingleMemberChange(next)) {
 			return -1;
 		}
 		long index = append(LogEntry.Kind.MEMBERSHIP, MembershipCodec.encode(next));
 		this.proposals.put(index, proposalId);
-		this.replication.followMembership(now);
+		this.replication.updateFollowers(now);
 		this.replication.sendEntries(this.commitIndex, now);
 		return index;
 	}
@@ -98,7 +98,7 @@
 	 * Work out the commit index after a reply or a sync.
 	 * @return the highest index that is committed
 	 */
-	long committable() {
+	long committableIndex() {
 		long index = this.replication.quorumIndex();
 		return (index > this.commitIndex && this.log.term(index) == this.term) ? index : this.commitIndex;
 	}
@@ -112,16 +112,16 @@
 	 * Serve reads and send what there is room for, after the commit index is known.
 	 * @param now the time
 	 */
-	void advance(long now) {
+	void sendPending(long now) {
 		serveReads(now);
 		this.replication.sendEntries(this.commitIndex, now);
-		this.successor.ifPresent(this::hurrySuccessor);
+		this.transferTarget.ifPresent(this::sendTimeoutNowIfCaughtUp);
 	}
 
 	void tick(long now) {
-		if (this.successor.isPresent() && now >= this.transferDeadline) {
+		if (this.transferTarget.isPresent() && now >= this.transferDeadline) {
 			// The successor did not take over; leading on is better than nobody leading.
-			this.successor = Optional.empty();
+			this.transferTarget = Optional.empty();
 		}
 		this.replication.tick(this.commitIndex, now);
 	}
@@ -131,10 +131,10 @@
 	}
 
 	void transfer(long now) {
-		this.successor = this.replication.bestSuccessor(now);
+		this.transferTarget = this.replication.transferTarget(now);
 		this.transferDeadline = now + this.timing.electionTimeoutNanos();
-		this.timeoutSent = false;
-		this.successor.ifPresent(this::hurrySuccessor);
+		this.timeoutNowSent = false;
+		this.transferTarget.ifPresent(this::sendTimeoutNowIfCaughtUp);
 	}
 
 	/**
@@ -150,9 +150,9 @@
 	 * Tell the others of the last commit and let the best of them stand at once.
 	 * @param now the time
 	 */
-	void handOver(long now) {
-		this.replication.heartbeat(this.commitIndex, now);
-		this.replication.bestSuccessor(now).ifPresent(this::sendTimeoutNow);
+	void transferAfterRemoval(long now) {
+		this.replication.sendHeartbeats(this.commitIndex, now);
+		this.replication.transferTarget(now).ifPresent(this::sendTimeoutNow);
 	}
 
 	void end() {
@@ -181,14 +181,14 @@
 		// Until an entry of this term is committed, the commit index may lag behind what
 		// an earlier leader has acknowledged.
 		if (this.commitIndex >= this.noopIndex && this.reads.needsRound()) {
-			this.reads.beginRound(this.replication.heartbeat(this.commitIndex, now), this.commitIndex);
+			this.reads.startRound(this.replication.sendHeartbeats(this.commitIndex, now), this.commitIndex);
 			this.reads.confirmed(this.replication.confirmedRound(), this.actions);
 		}
 	}
 
-	private void hurrySuccessor(ReplicaId id) {
-		if (!this.timeoutSent && this.replication.matchIndex(id) == this.log.lastIndex()) {
-			this.timeoutSent = true;
+	private void sendTimeoutNowIfCaughtUp(ReplicaId id) {
+		if (!this.timeoutNowSent && this.replication.matchIndex(id) == this.log.lastIndex()) {
+			this.timeoutNowSent = true;
 			sendTimeoutNow(id);
 		}
 	}
--- a/core/src/main/java/org/acaciacourse/core/consensus/Membership.java
+++ b/core/src/main/java/org/acaciacourse/core/consensus/Membership.java
@@ -65,12 +65,12 @@
 	 */
 	public boolean isQuorum(Collection<ReplicaId> replicas) {
 		int voters = 0;
-		int held = 0;
+		int matching = 0;
 		for (Member member : this.members) {
 			voters += (member.voter()) ? 1 : 0;
-			held += (member.voter() && replicas.contains(member.id())) ? 1 : 0;
+			matching += (member.voter() && replicas.contains(member.id())) ? 1 : 0;
 		}
-		return held > voters / 2;
+		return matching > voters / 2;
 	}
 
 	/**
@@ -98,16 +98,16 @@
 	 * @param next the other membership
 	 * @return whether it is one step away and has a voter
 	 */
-	public boolean isOneStepBefore(Membership next) {
+	public boolean isSingleMemberChange(Membership next) {
 		List<Member> added = next.members.stream().filter((member) -> !this.members.contains(member)).toList();
-		List<Member> gone = this.members.stream().filter((member) -> !next.members.contains(member)).toList();
-		if (next.voters().isEmpty() || added.size() > 1 || gone.size() > 1) {
+		List<Member> removed = this.members.stream().filter((member) -> !next.members.contains(member)).toList();
+		if (next.voters().isEmpty() || added.size() > 1 || removed.size() > 1) {
 			return false;
 		}
 		if (added.isEmpty()) {
-			return gone.size() == 1;
+			return removed.size() == 1;
 		}
-		return (gone.isEmpty()) ? !added.get(0).voter() : added.get(0).id().equals(gone.get(0).id());
+		return (removed.isEmpty()) ? !added.get(0).voter() : added.get(0).id().equals(removed.get(0).id());
 	}
 
 	/**
--- a/core/src/main/java/org/acaciacourse/core/consensus/MembershipManager.java
+++ b/core/src/main/java/org/acaciacourse/core/consensus/MembershipManager.java
@@ -41,15 +41,15 @@
 	 * is new. A process that was killed is back sooner. One that is only cut off loses
 	 * nothing but its place: it joins again.
 	 */
-	static final long GONE_NANOS = 2_000_000_000L;
+	static final long MAX_ABSENCE_NANOS = 2_000_000_000L;
 
-	private final Map<String, Member> joining = new LinkedHashMap<>();
+	private final Map<String, Member> joinRequests = new LinkedHashMap<>();
 
-	private final Map<ReplicaId, Long> catchUpIndexes = new HashMap<>();
+	private final Map<ReplicaId, Long> catchUpTargets = new HashMap<>();
 
 	private final Map<ReplicaId, Long> absentSince = new HashMap<>();
 
-	private long observedAt;
+	private long lastObservedAt;
 
 	/**
 	 * Note a join request from a replica that has an empty disk, or that was removed from
@@ -59,10 +59,10 @@
 	 * @return whether the request is noted; it is refused when too many wait
 	 */
 	public boolean join(Member member) {
-		if (this.joining.size() >= MAX_MEMBERS && !this.joining.containsKey(member.vm())) {
+		if (this.joinRequests.size() >= MAX_MEMBERS && !this.joinRequests.containsKey(member.vm())) {
 			return false;
 		}
-		this.joining.put(member.vm(), new Member(member.id(), member.vm(), member.address(), false));
+		this.joinRequests.put(member.vm(), new Member(member.id(), member.vm(), member.address(), false));
 		return true;
 	}
 
@@ -70,8 +70,8 @@
 	 * Forget what only a leader may keep.
 	 */
 	public void leadershipLost() {
-		this.joining.clear();
-		this.catchUpIndexes.clear();
+		this.joinRequests.clear();
+		this.catchUpTargets.clear();
 		this.absentSince.clear();
 	}
 
@@ -82,7 +82,7 @@
 	 * @param now the time in nanoseconds
 	 */
 	public void observe(Membership current, Predicate<ReplicaId> inContact, long now) {
-		this.observedAt = now;
+		this.lastObservedAt = now;
 		this.absentSince.keySet().removeIf((id) -> !current.isVoter(id) || inContact.test(id));
 		current.voters()
 			.stream()
@@ -97,7 +97,8 @@
 	 * in contact then or is not a voter
 	 */
 	public Optional<Duration> absence(ReplicaId id) {
-		return Optional.ofNullable(this.absentSince.get(id)).map((since) -> Duration.ofNanos(this.observedAt - since));
+		return Optional.ofNullable(this.absentSince.get(id))
+			.map((since) -> Duration.ofNanos(this.lastObservedAt - since));
 	}
 
 	/**
@@ -116,26 +117,26 @@
 		if (!committed) {
 			return Optional.empty();
 		}
-		this.joining.values().removeIf((member) -> current.member(member.id()).isPresent());
-		this.catchUpIndexes.keySet().removeIf((id) -> current.member(id).isEmpty());
-		Optional<Membership> replaced = replaceOrPromote(current, commitIndex, matchIndex, inContact);
-		return replaced.or(() -> admit(current, inContact));
+		this.joinRequests.values().removeIf((member) -> current.member(member.id()).isPresent());
+		this.catchUpTargets.keySet().removeIf((id) -> current.member(id).isEmpty());
+		Optional<Membership> replacement = replaceOrPromote(current, commitIndex, matchIndex, inContact);
+		return replacement.or(() -> addOrRemoveLearner(current, inContact));
 	}
 
 	private Optional<Membership> replaceOrPromote(Membership current, long commitIndex,
 			ToLongFunction<ReplicaId> matchIndex, Predicate<ReplicaId> inContact) {
 		for (Member member : current.members()) {
 			if (!member.voter() && isCaughtUp(member, commitIndex, matchIndex)) {
-				Optional<Member> old = oldVoter(current, member);
-				if (old.isPresent() && !inContact.test(old.get().id())) {
-					return Optional.of(current.without(old.get().id()));
+				Optional<Member> previous = previousVoter(current, member);
+				if (previous.isPresent() && !inContact.test(previous.get().id())) {
+					return Optional.of(current.without(previous.get().id()));
 				}
-				if (old.isEmpty() && current.voters().size() < MAX_VOTERS) {
+				if (previous.isEmpty() && current.voters().size() < MAX_VOTERS) {
 					return Optional.of(current.with(new Member(member.id(), member.vm(), member.address(), true)));
 				}
-				Optional<ReplicaId> gone = gone(current);
-				if (old.isEmpty() && inContact.test(member.id()) && gone.isPresent()) {
-					return Optional.of(current.without(gone.get()));
+				Optional<ReplicaId> absent = longestAbsentVoter(current);
+				if (previous.isEmpty() && inContact.test(member.id()) && absent.isPresent()) {
+					return Optional.of(current.without(absent.get()));
 				}
 			}
 		}
@@ -144,38 +145,39 @@
 
 	// A VM that was replaced for good by one with another name. Its voter counts for the
 	// quorum until it is removed, so that two more losses would stop the log.
-	private Optional<ReplicaId> gone(Membership current) {
+	private Optional<ReplicaId> longestAbsentVoter(Membership current) {
 		return current.members()
 			.stream()
 			.filter(Member::voter)
 			.map(Member::id)
-			.filter((id) -> this.observedAt - this.absentSince.getOrDefault(id, this.observedAt) >= GONE_NANOS)
+			.filter((id) -> this.lastObservedAt
+					- this.absentSince.getOrDefault(id, this.lastObservedAt) >= MAX_ABSENCE_NANOS)
 			.min(Comparator.comparing(this.absentSince::get));
 	}
 
 	private boolean isCaughtUp(Member learner, long commitIndex, ToLongFunction<ReplicaId> matchIndex) {
 		// The membership that lists the learner is committed, so this point is after it.
-		long target = this.catchUpIndexes.computeIfAbsent(learner.id(), (id) -> commitIndex);
+		long target = this.catchUpTargets.computeIfAbsent(learner.id(), (id) -> commitIndex);
 		return matchIndex.applyAsLong(learner.id()) >= target;
 	}
 
-	private Optional<Membership> admit(Membership current, Predicate<ReplicaId> inContact) {
-		if (this.joining.isEmpty()) {
+	private Optional<Membership> addOrRemoveLearner(Membership current, Predicate<ReplicaId> inContact) {
+		if (this.joinRequests.isEmpty()) {
 			return Optional.empty();
 		}
-		Member member = this.joining.values().iterator().next();
+		Member member = this.joinRequests.values().iterator().next();
 		// A learner of the same VM that lost its disk again will never catch up.
-		Optional<Member> stale = current.members()
+		Optional<Member> previous = current.members()
 			.stream()
 			.filter((other) -> !other.voter() && other.vm().equals(member.vm()))
 			.findFirst();
-		if (stale.isPresent() && inContact.test(stale.get().id())) {
+		if (previous.isPresent() && inContact.test(previous.get().id())) {
 			// Two processes with the name of one VM would replace each other for ever.
-			this.joining.remove(member.vm());
+			this.joinRequests.remove(member.vm());
 			return Optional.empty();
 		}
-		if (stale.isPresent()) {
-			return Optional.of(current.without(stale.get().id()));
+		if (previous.isPresent()) {
+			return Optional.of(current.without(previous.get().id()));
 		}
 		if (current.members().size() >= MAX_MEMBERS) {
 			return Optional.empty();
@@ -195,10 +197,10 @@
 	public static boolean isSettled(Membership current, ReplicaId id) {
 		Optional<Member> member = current.member(id);
 		return member.isPresent() && (member.get().voter()
-				|| (current.voters().size() >= MAX_VOTERS && oldVoter(current, member.get()).isEmpty()));
+				|| (current.voters().size() >= MAX_VOTERS && previousVoter(current, member.get()).isEmpty()));
 	}
 
-	private static Optional<Member> oldVoter(Membership current, Member learner) {
+	private static Optional<Member> previousVoter(Membership current, Member learner) {
 		return current.members()
 			.stream()
 			.filter((other) -> other.voter() && other.vm().equals(learner.vm()))
--- a/core/src/main/java/org/acaciacourse/core/consensus/PendingReads.java
+++ b/core/src/main/java/org/acaciacourse/core/consensus/PendingReads.java
@@ -20,7 +20,7 @@
 
 	private final Deque<Long> waiting = new ArrayDeque<>();
 
-	private final List<Long> inRound = new ArrayList<>();
+	private final List<Long> awaitingRound = new ArrayList<>();
 
 	private long round;
 
@@ -35,27 +35,27 @@
 	}
 
 	boolean needsRound() {
-		return this.inRound.isEmpty() && !this.waiting.isEmpty();
+		return this.awaitingRound.isEmpty() && !this.waiting.isEmpty();
 	}
 
-	void beginRound(long nextRound, long commitIndex) {
+	void startRound(long nextRound, long commitIndex) {
 		this.round = nextRound;
 		this.index = commitIndex;
-		this.inRound.addAll(this.waiting);
+		this.awaitingRound.addAll(this.waiting);
 		this.waiting.clear();
 	}
 
 	void confirmed(long confirmedRound, ReplicaActions actions) {
 		if (confirmedRound >= this.round) {
-			this.inRound.forEach((readId) -> actions.readReady(readId, this.index));
-			this.inRound.clear();
+			this.awaitingRound.forEach((readId) -> actions.readReady(readId, this.index));
+			this.awaitingRound.clear();
 		}
 	}
 
 	void failAll(ReplicaActions actions) {
-		this.inRound.forEach(actions::failed);
+		this.awaitingRound.forEach(actions::failed);
 		this.waiting.forEach(actions::failed);
-		this.inRound.clear();
+		this.awaitingRound.clear();
 		this.waiting.clear();
 	}
 
--- a/core/src/main/java/org/acaciacourse/core/consensus/Progress.java
+++ b/core/src/main/java/org/acaciacourse/core/consensus/Progress.java
@@ -14,7 +14,7 @@
 final class Progress {
 
 	/** A snapshot is large, and its receiver syncs it before it answers. */
-	private static final int SNAPSHOT_TIMEOUTS = 8;
+	private static final int SNAPSHOT_TIMEOUT_FACTOR = 8;
 
 	private final Deque<Batch> inFlight = new ArrayDeque<>();
 
@@ -30,7 +30,7 @@
 
 	private long lastContact;
 
-	private long ackedRound;
+	private long acknowledgedRound;
 
 	private boolean probeOutstanding;
 
@@ -56,8 +56,8 @@
 		return this.lastContact;
 	}
 
-	long ackedRound() {
-		return this.ackedRound;
+	long acknowledgedRound() {
+		return this.acknowledgedRound;
 	}
 
 	/**
@@ -65,7 +65,7 @@
 	 * @param maxBytes the bound on the bytes in flight
 	 * @return whether there is room
 	 */
-	boolean mayTakeEntries(int maxBytes) {
+	boolean canSendEntries(int maxBytes) {
 		return switch (this.mode) {
 			case PROBE -> !this.probeOutstanding;
 			case REPLICATE -> this.inFlightBytes < maxBytes;
@@ -101,9 +101,9 @@
 	 * @param round the round that it repeats
 	 * @param now the time
 	 */
-	void contact(long round, long now) {
+	void recordContact(long round, long now) {
 		this.lastContact = now;
-		this.ackedRound = Math.max(this.ackedRound, round);
+		this.acknowledgedRound = Math.max(this.acknowledgedRound, round);
 	}
 
 	void matched(long index) {
@@ -134,11 +134,11 @@
 	 * @param timeout the time after which a message counts as lost
 	 * @param now the time
 	 */
-	void checkLost(long timeout, long now) {
+	void checkTimeout(long timeout, long now) {
 		boolean snapshot = this.mode == Mode.SNAPSHOT;
 		boolean waiting = snapshot || this.probeOutstanding || !this.inFlight.isEmpty();
-		long allowed = (snapshot) ? SNAPSHOT_TIMEOUTS * timeout : timeout;
-		if (waiting && now - this.lastSent >= allowed) {
+		long limit = (snapshot) ? SNAPSHOT_TIMEOUT_FACTOR * timeout : timeout;
+		if (waiting && now - this.lastSent >= limit) {
 			probeFrom(this.matchIndex + 1);
 		}
 	}
--- a/core/src/main/java/org/acaciacourse/core/consensus/Replica.java
+++ b/core/src/main/java/org/acaciacourse/core/consensus/Replica.java
@@ -38,7 +38,7 @@
 
 	private final ReplicaActions actions;
 
-	private final LogView log;
+	private final InMemoryLog log;
 
 	private final Election election;
 
@@ -52,7 +52,7 @@
 
 	private long commitIndex;
 
-	private ReplicaStatus reported;
+	private ReplicaStatus lastReported;
 
 	/**
 	 * Start a replica.
@@ -70,11 +70,11 @@
 		this.vm = Objects.requireNonNull(vm, "vm");
 		this.timing = timing;
 		this.actions = actions;
-		this.log = new LogView(recovered);
+		this.log = new InMemoryLog(recovered);
 		this.hardState = recovered.hardState();
-		this.commitIndex = this.log.baseIndex();
-		this.election = new Election(timing.electionTimeoutNanos(), seed, position(), now);
-		this.reported = status();
+		this.commitIndex = this.log.snapshotIndex();
+		this.election = new Election(timing.electionTimeoutNanos(), seed, voterRank(), now);
+		this.lastReported = status();
 	}
 
 	@Override
@@ -85,26 +85,26 @@
 		else {
 			receiveInTerm(message, now);
 		}
-		reportChange();
+		reportStatusChange();
 	}
 
 	@Override
 	public void tick(long now) {
 		this.leadership.ifPresent((leading) -> tickLeader(leading, now));
-		if (this.role != Role.LEADER && this.election.isDue(now)) {
+		if (this.role != Role.LEADER && this.election.isTimerExpired(now)) {
 			this.leader = Optional.empty();
 			if (isVoter()) {
 				startPreVote(now);
 			}
 		}
-		reportChange();
+		reportStatusChange();
 	}
 
 	@Override
 	public void durable(long index, long term, long now) {
-		this.log.durable(index, term);
-		this.leadership.ifPresent((leading) -> advanceLeader(leading, now));
-		reportChange();
+		this.log.markDurable(index, term);
+		this.leadership.ifPresent((leading) -> advanceCommitIndex(leading, now));
+		reportStatusChange();
 	}
 
 	@Override
@@ -137,8 +137,8 @@
 
 	@Override
 	public ReplicaStatus status() {
-		Role shown = (this.role == Role.FOLLOWER && !isVoter()) ? Role.LEARNER : this.role;
-		return new ReplicaStatus(shown, term(), this.leader.flatMap(membership()::member), this.commitIndex);
+		Role reportedRole = (this.role == Role.FOLLOWER && !isVoter()) ? Role.LEARNER : this.role;
+		return new ReplicaStatus(reportedRole, term(), this.leader.flatMap(membership()::member), this.commitIndex);
 	}
 
 	@Override
@@ -175,8 +175,8 @@
 	 * is over
 	 */
 	public boolean needsToJoin(long now) {
-		boolean served = membership().member(this.self).isPresent() && this.leader.isPresent();
-		return !served && (!isVoter() || this.election.isLeaderless(now));
+		boolean replicated = membership().member(this.self).isPresent() && this.leader.isPresent();
+		return !replicated && (!isVoter() || this.election.isLeaderless(now));
 	}
 
 	/**
@@ -210,8 +210,8 @@
 	}
 
 	private void receiveInTerm(ReplicaMessage message, long now) {
-		boolean prospective = message instanceof VoteReply reply && reply.preVote() && reply.granted();
-		if (message.term() > term() && !prospective) {
+		boolean grantedPreVote = message instanceof VoteReply reply && reply.preVote() && reply.granted();
+		if (message.term() > term() && !grantedPreVote) {
 			becomeFollower(message.term(), Optional.empty(), now);
 		}
 		if (message instanceof AppendRequest request) {
@@ -226,7 +226,7 @@
 		else if (message instanceof AppendReply reply && reply.term() == term()) {
 			this.leadership.ifPresent((leading) -> {
 				leading.receive(reply, now);
-				advanceLeader(leading, now);
+				advanceCommitIndex(leading, now);
 			});
 		}
 		else if (message instanceof TimeoutNow request && request.term() == term() && isVoter()
@@ -236,8 +236,8 @@
 	}
 
 	private void receiveVoteRequest(VoteRequest request, long now) {
-		boolean leaderWorks = this.role == Role.LEADER || this.election.isLeaderRecent(now);
-		boolean refused = leaderWorks && !request.leadershipTransfer();
+		boolean hasLeader = this.role == Role.LEADER || this.election.hasRecentLeaderContact(now);
+		boolean refused = hasLeader && !request.leadershipTransfer();
 		if (request.preVote()) {
 			boolean granted = !refused && request.term() > term() && isUpToDate(request);
 			long term = (granted) ? request.term() : term();
@@ -250,8 +250,8 @@
 		if (request.term() > term()) {
 			becomeFollower(request.term(), Optional.empty(), now);
 		}
-		boolean free = this.hardState.votedFor().map(request.from()::equals).orElse(true);
-		boolean granted = request.term() == term() && free && isUpToDate(request);
+		boolean canVote = this.hardState.votedFor().map(request.from()::equals).orElse(true);
+		boolean granted = request.term() == term() && canVote && isUpToDate(request);
 		if (granted && this.hardState.votedFor().isEmpty()) {
 			persist(new HardState(term(), Optional.of(request.from())));
 			this.election.restartTimer(now);
@@ -267,12 +267,12 @@
 	}
 
 	private void receiveVoteReply(VoteReply reply, long now) {
-		Role asking = (reply.preVote()) ? Role.PRE_CANDIDATE : Role.CANDIDATE;
-		long asked = (reply.preVote()) ? term() + 1 : term();
-		if (!reply.granted() || this.role != asking || reply.term() != asked) {
+		Role expectedRole = (reply.preVote()) ? Role.PRE_CANDIDATE : Role.CANDIDATE;
+		long requestedTerm = (reply.preVote()) ? term() + 1 : term();
+		if (!reply.granted() || this.role != expectedRole || reply.term() != requestedTerm) {
 			return;
 		}
-		this.election.grantedBy(reply.from());
+		this.election.recordVote(reply.from());
 		continueElection(now);
 	}
 
@@ -281,20 +281,21 @@
 			send(request.from(), new AppendReply(this.self, term(), false, 0, request.round()));
 			return;
 		}
-		follow(request.from(), now);
-		long base = this.log.baseIndex();
+		followLeader(request.from(), now);
+		long snapshotIndex = this.log.snapshotIndex();
 		long last = request.previousIndex() + request.entries().size();
-		if (request.previousIndex() >= base && this.log.term(request.previousIndex()) != request.previousTerm()) {
+		if (request.previousIndex() >= snapshotIndex
+				&& this.log.term(request.previousIndex()) != request.previousTerm()) {
 			long hint = this.log.lastPossibleMatch(request.previousIndex(), this.commitIndex);
 			send(request.from(), new AppendReply(this.self, term(), false, hint, request.round()));
 			return;
 		}
 		// What lies before the snapshot is committed and so matches every leader's log.
-		List<LogEntry> entries = request.entries().stream().filter((entry) -> entry.index() > base).toList();
-		long matched = Math.max(base, last);
+		List<LogEntry> entries = request.entries().stream().filter((entry) -> entry.index() > snapshotIndex).toList();
+		long matchIndex = Math.max(snapshotIndex, last);
 		appendMissing(entries);
-		send(request.from(), new AppendReply(this.self, term(), true, matched, request.round()));
-		commit(Math.min(request.commitIndex(), matched));
+		send(request.from(), new AppendReply(this.self, term(), true, matchIndex, request.round()));
+		commit(Math.min(request.commitIndex(), matchIndex));
 	}
 
 	private void appendMissing(List<LogEntry> entries) {
@@ -321,12 +322,13 @@
 			send(request.from(), new AppendReply(this.self, term(), false, 0, request.round()));
 			return;
 		}
-		follow(request.from(), now);
+		followLeader(request.from(), now);
 		Snapshot snapshot = request.snapshot();
 		// Entries after the snapshot may be acknowledged and count for a quorum: a late
 		// snapshot must not drop them, or a committed entry could be lost.
-		boolean held = snapshot.index() <= this.commitIndex || this.log.term(snapshot.index()) == snapshot.term();
-		if (!held) {
+		boolean alreadyInLog = snapshot.index() <= this.commitIndex
+				|| this.log.term(snapshot.index()) == snapshot.term();
+		if (!alreadyInLog) {
 			this.log.install(snapshot);
 			this.actions.install(snapshot);
 			this.commitIndex = snapshot.index();
@@ -335,17 +337,17 @@
 		commit(snapshot.index());
 	}
 
-	private void follow(ReplicaId from, long now) {
+	private void followLeader(ReplicaId from, long now) {
 		if (this.role == Role.LEADER) {
 			throw new IllegalStateException("term " + term() + " has two leaders");
 		}
 		becomeFollower(term(), Optional.of(from), now);
-		this.election.leaderSeen(now);
+		this.election.recordLeaderContact(now);
 	}
 
 	private void startPreVote(long now) {
 		this.role = Role.PRE_CANDIDATE;
-		this.election.begin(this.self, now);
+		this.election.start(this.self, now);
 		requestVotes(true, false);
 		continueElection(now);
 	}
@@ -354,15 +356,15 @@
 		this.role = Role.CANDIDATE;
 		this.leader = Optional.empty();
 		persist(new HardState(term() + 1, Optional.of(this.self)));
-		this.election.begin(this.self, now);
+		this.election.start(this.self, now);
 		requestVotes(false, leadershipTransfer);
 		continueElection(now);
 	}
 
 	private void requestVotes(boolean preVote, boolean leadershipTransfer) {
-		long asked = (preVote) ? term() + 1 : term();
-		VoteRequest request = new VoteRequest(this.self, asked, this.log.lastIndex(), this.log.lastTerm(), preVote,
-				leadershipTransfer);
+		long requestedTerm = (preVote) ? term() + 1 : term();
+		VoteRequest request = new VoteRequest(this.self, requestedTerm, this.log.lastIndex(), this.log.lastTerm(),
+				preVote, leadershipTransfer);
 		membership().members()
 			.stream()
 			.filter((member) -> member.voter() && !member.id().equals(this.self))
@@ -392,11 +394,11 @@
 		leading.tick(now);
 	}
 
-	private void advanceLeader(Leadership leading, long now) {
-		commit(leading.committable());
-		leading.advance(now);
+	private void advanceCommitIndex(Leadership leading, long now) {
+		commit(leading.committableIndex());
+		leading.sendPending(now);
 		if (leading.isRemoved()) {
-			leading.handOver(now);
+			leading.transferAfterRemoval(now);
 			becomeFollower(term(), Optional.empty(), now);
 		}
 	}
@@ -431,18 +433,18 @@
 		this.actions.send(membership().member(to).orElse(new Member(to, "", "", false)), message);
 	}
 
-	private void reportChange() {
+	private void reportStatusChange() {
 		ReplicaStatus status = status();
-		boolean same = status.role() == this.reported.role() && status.term() == this.reported.term()
-				&& status.leader().equals(this.reported.leader());
-		this.reported = status;
+		boolean same = status.role() == this.lastReported.role() && status.term() == this.lastReported.term()
+				&& status.leader().equals(this.lastReported.leader());
+		this.lastReported = status;
 		if (!same) {
 			this.actions.statusChanged(status);
 		}
 	}
 
 	// How many voters go before this one.
-	private int position() {
+	private int voterRank() {
 		return (int) membership().voters().stream().filter((id) -> id.compareTo(this.self) < 0).count();
 	}
 
--- a/core/src/main/java/org/acaciacourse/core/consensus/Replication.java
+++ b/core/src/main/java/org/acaciacourse/core/consensus/Replication.java
@@ -24,7 +24,7 @@
 
 	private final long term;
 
-	private final LogView log;
+	private final InMemoryLog log;
 
 	private final ReplicaTiming timing;
 
@@ -36,21 +36,21 @@
 
 	private long nextHeartbeat;
 
-	Replication(ReplicaId self, long term, LogView log, ReplicaTiming timing, ReplicaActions actions, long now) {
+	Replication(ReplicaId self, long term, InMemoryLog log, ReplicaTiming timing, ReplicaActions actions, long now) {
 		this.self = self;
 		this.term = term;
 		this.log = log;
 		this.timing = timing;
 		this.actions = actions;
 		this.nextHeartbeat = now;
-		followMembership(now);
+		updateFollowers(now);
 	}
 
 	/**
 	 * Follow a change of the membership in force.
 	 * @param now the time
 	 */
-	void followMembership(long now) {
+	void updateFollowers(long now) {
 		Membership membership = this.log.membership();
 		this.followers.keySet().removeIf((id) -> membership.member(id).isEmpty());
 		membership.members()
@@ -76,7 +76,7 @@
 	 * @param commitIndex the commit index
 	 * @param now the time
 	 */
-	void sendToIdle(long commitIndex, long now) {
+	void sendToIdleFollowers(long commitIndex, long now) {
 		this.followers.forEach((id, progress) -> {
 			if (progress.isIdle()) {
 				sendEntries(id, progress, commitIndex, now);
@@ -90,17 +90,18 @@
 	 * @param now the time
 	 * @return the round
 	 */
-	long heartbeat(long commitIndex, long now) {
+	long sendHeartbeats(long commitIndex, long now) {
 		this.round++;
 		this.nextHeartbeat = now + this.timing.heartbeatNanos();
-		this.followers.forEach((id, progress) -> heartbeat(id, progress, commitIndex));
+		this.followers.forEach((id, progress) -> sendHeartbeats(id, progress, commitIndex));
 		return this.round;
 	}
 
 	void tick(long commitIndex, long now) {
-		this.followers.values().forEach((progress) -> progress.checkLost(this.timing.electionTimeoutNanos() / 2, now));
+		this.followers.values()
+			.forEach((progress) -> progress.checkTimeout(this.timing.electionTimeoutNanos() / 2, now));
 		if (now >= this.nextHeartbeat) {
-			heartbeat(commitIndex, now);
+			sendHeartbeats(commitIndex, now);
 		}
 		sendEntries(commitIndex, now);
 	}
@@ -115,7 +116,7 @@
 		if (progress == null) {
 			return;
 		}
-		progress.contact(reply.round(), now);
+		progress.recordContact(reply.round(), now);
 		if (reply.success()) {
 			progress.matched(Math.min(reply.matchIndex(), this.log.lastIndex()));
 		}
@@ -137,7 +138,7 @@
 	 * @return the round
 	 */
 	long confirmedRound() {
-		return this.log.membership().reachedByQuorum(this::ackedRound);
+		return this.log.membership().reachedByQuorum(this::acknowledgedRound);
 	}
 
 	/**
@@ -158,7 +159,7 @@
 	 * @param now the time
 	 * @return the voter that answers and has caught up furthest
 	 */
-	Optional<ReplicaId> bestSuccessor(long now) {
+	Optional<ReplicaId> transferTarget(long now) {
 		Set<ReplicaId> voters = this.log.membership().voters();
 		return this.followers.entrySet()
 			.stream()
@@ -182,23 +183,23 @@
 		return (id.equals(this.self)) ? this.log.durableIndex() : matchIndex(id);
 	}
 
-	private long ackedRound(ReplicaId id) {
+	private long acknowledgedRound(ReplicaId id) {
 		if (id.equals(this.self)) {
 			return this.round;
 		}
 		Progress progress = this.followers.get(id);
-		return (progress != null) ? progress.ackedRound() : 0;
+		return (progress != null) ? progress.acknowledgedRound() : 0;
 	}
 
 	private void sendEntries(ReplicaId id, Progress progress, long commitIndex, long now) {
 		while (progress.nextIndex() <= this.log.lastIndex()
-				&& progress.mayTakeEntries(this.timing.maxInFlightBytes())) {
-			if (progress.nextIndex() <= this.log.baseIndex()) {
+				&& progress.canSendEntries(this.timing.maxInFlightBytes())) {
+			if (progress.nextIndex() <= this.log.snapshotIndex()) {
 				sendSnapshot(id, progress, now);
 				return;
 			}
 			List<LogEntry> entries = this.log.slice(progress.nextIndex(), this.timing.maxBatchBytes());
-			append(id, progress.nextIndex() - 1, entries, commitIndex);
+			sendAppend(id, progress.nextIndex() - 1, entries, commitIndex);
 			long bytes = entries.stream().mapToLong((entry) -> entry.payload().length).sum();
 			progress.sentEntries(entries.get(entries.size() - 1).index(), bytes, now);
 		}
@@ -206,25 +207,26 @@
 
 	private void sendSnapshot(ReplicaId id, Progress progress, long now) {
 		Snapshot snapshot = this.log.snapshot().orElseThrow();
-		this.actions.send(address(id), new SnapshotRequest(this.self, this.term, snapshot, this.round));
+		this.actions.send(member(id), new SnapshotRequest(this.self, this.term, snapshot, this.round));
 		progress.sentSnapshot(snapshot.index(), now);
 	}
 
-	private void heartbeat(ReplicaId id, Progress progress, long commitIndex) {
+	private void sendHeartbeats(ReplicaId id, Progress progress, long commitIndex) {
 		// While probing, a heartbeat asks whether the logs match. Later it names a place
 		// where they are known to, so that it never fails for a message still in flight;
 		// the place before the first entry matches in every log.
-		long previous = (progress.mode() == Progress.Mode.PROBE) ? progress.nextIndex() - 1 : progress.matchIndex();
-		append(id, (previous >= this.log.baseIndex()) ? previous : 0, List.of(), commitIndex);
+		long previousIndex = (progress.mode() == Progress.Mode.PROBE) ? progress.nextIndex() - 1
+				: progress.matchIndex();
+		sendAppend(id, (previousIndex >= this.log.snapshotIndex()) ? previousIndex : 0, List.of(), commitIndex);
 	}
 
-	private void append(ReplicaId id, long previous, List<LogEntry> entries, long commitIndex) {
-		long previousTerm = (previous == 0) ? 0 : this.log.term(previous);
-		this.actions.send(address(id),
-				new AppendRequest(this.self, this.term, previous, previousTerm, entries, commitIndex, this.round));
+	private void sendAppend(ReplicaId id, long previousIndex, List<LogEntry> entries, long commitIndex) {
+		long previousTerm = (previousIndex == 0) ? 0 : this.log.term(previousIndex);
+		this.actions.send(member(id),
+				new AppendRequest(this.self, this.term, previousIndex, previousTerm, entries, commitIndex, this.round));
 	}
 
-	private Member address(ReplicaId id) {
+	private Member member(ReplicaId id) {
 		return this.log.membership().member(id).orElseThrow();
 	}
 
--- a/core/src/test/java/org/acaciacourse/core/consensus/ExplorationTests.java
+++ b/core/src/test/java/org/acaciacourse/core/consensus/ExplorationTests.java
@@ -24,32 +24,32 @@
 	private static SimulatedCluster explore(long seed, Faults faults) {
 		SimulatedCluster cluster = new SimulatedCluster(seed, (seed % 5 == 0) ? 5 : 3, faults);
 		cluster.runFor(600);
-		boolean storm = seed % 2 == 1;
-		cluster.rates(0.02 * (seed % 4), 0.01 * (seed % 3), (storm) ? 0.3 : 0.05);
+		boolean frequentCrashes = seed % 2 == 1;
+		cluster.setFaultRates(0.02 * (seed % 4), 0.01 * (seed % 3), (frequentCrashes) ? 0.3 : 0.05);
 		for (int i = 0; i < 60; i++) {
-			inject(cluster);
-			if (storm) {
+			injectRandomFault(cluster);
+			if (frequentCrashes) {
 				crashAroundElections(cluster);
 			}
-			cluster.operate(cluster.randomNode());
-			cluster.claim(cluster.randomNode());
-			cluster.read();
+			cluster.proposeManifest(cluster.randomNode());
+			cluster.proposeClaim(cluster.randomNode());
+			cluster.requestRead();
 			cluster.runFor(5 + cluster.random.nextInt(30));
 		}
-		finish(cluster);
+		checkRecovery(cluster);
 		return cluster;
 	}
 
-	private static void inject(SimulatedCluster cluster) {
+	private static void injectRandomFault(SimulatedCluster cluster) {
 		SimulatedNode node = cluster.randomNode();
 		switch (cluster.random.nextInt(24)) {
 			case 0 -> cluster.freeze(node, 50 + cluster.random.nextInt(600));
 			case 1 -> cluster.isolate(node.vm);
-			case 2 -> cluster.cut(node.vm, cluster.randomNode().vm);
+			case 2 -> cluster.cutLink(node.vm, cluster.randomNode().vm);
 			case 3, 4, 5 -> cluster.heal();
 			case 6, 7 -> node.compact();
 			case 8 -> node.replica.transferLeadership(node.monotonic());
-			case 9 -> loseDisk(cluster, node);
+			case 9 -> loseDiskIfRepaired(cluster, node);
 			case 10, 11 -> cluster.raceElection();
 			default -> {
 			}
@@ -73,20 +73,20 @@
 	}
 
 	/** A second disk may go only after the first is repaired: the brief's own bound. */
-	private static void loseDisk(SimulatedCluster cluster, SimulatedNode node) {
+	private static void loseDiskIfRepaired(SimulatedCluster cluster, SimulatedNode node) {
 		if (cluster.isRepaired()) {
 			cluster.loseDisk(node);
 		}
 	}
 
-	private static void finish(SimulatedCluster cluster) {
-		cluster.calm();
+	private static void checkRecovery(SimulatedCluster cluster) {
+		cluster.stopFaults();
 		cluster.runFor(2_000);
 		SimulatedNode leader = cluster.leader();
 		History.checkProgress(leader != null, "no leader after all faults ended: " + cluster.describe());
 		long before = cluster.history.acknowledgedIndex();
 		for (int i = 0; i < 20 && cluster.history.acknowledgedIndex() == before; i++) {
-			cluster.operate(leader);
+			cluster.proposeManifest(leader);
 			cluster.runFor(50);
 		}
 		cluster.runFor(200);
@@ -103,7 +103,7 @@
 		for (long seed = 0; seed < SEEDS; seed++) {
 			try {
 				SimulatedCluster cluster = explore(seed, new Faults());
-				cluster.injected.forEach((fault, count) -> counts.merge(fault, count, Long::sum));
+				cluster.faultCounts.forEach((fault, count) -> counts.merge(fault, count, Long::sum));
 				counts.merge("steps", cluster.steps, Long::sum);
 				counts.merge("commits", cluster.history.lastCommitted(), Long::sum);
 				counts.merge("elections", cluster.history.elections, Long::sum);
@@ -124,7 +124,7 @@
 
 		private SimulatedCluster cluster;
 
-		private long number;
+		private long manifestNumber;
 
 		// The first and the second VM commit a manifest that the third misses, and the
 		// first VM's disk is lost.
@@ -135,10 +135,10 @@
 			List<SimulatedNode> others = this.cluster.nodes.values().stream().filter((n) -> n != second).toList();
 			this.cluster.isolate(others.get(1).vm);
 			while (this.cluster.history.acknowledgedNumber() == 0) {
-				this.cluster.operate(second);
+				this.cluster.proposeManifest(second);
 				this.cluster.runFor(20);
 			}
-			this.number = this.cluster.history.acknowledgedNumber();
+			this.manifestNumber = this.cluster.history.acknowledgedNumber();
 			this.cluster.loseDisk(others.get(0));
 			this.cluster.heal();
 			return second;
@@ -156,7 +156,7 @@
 			assertThat(this.cluster.isRepaired()).isTrue();
 			this.cluster.loseDisk(second);
 			this.cluster.runFor(1_000);
-			assertThat(this.cluster.leader().state.number()).isEqualTo(this.number);
+			assertThat(this.cluster.leader().state.number()).isEqualTo(this.manifestNumber);
 		}
 
 		@Test
@@ -169,7 +169,7 @@
 			assertThat(this.cluster.leader()).isNull();
 			this.cluster.restart(second);
 			this.cluster.runFor(1_000);
-			assertThat(this.cluster.leader().state.number()).isEqualTo(this.number);
+			assertThat(this.cluster.leader().state.number()).isEqualTo(this.manifestNumber);
 		}
 
 		@Test
@@ -177,7 +177,7 @@
 			// The same failures, but the empty replica comes back as the old one. It
 			// votes for the third, and both commit other entries in place of the
 			// manifest.
-			SimulatedNode second = loseDiskAfterCommit(new NaiveRejoin());
+			SimulatedNode second = loseDiskAfterCommit(new RejoinUnderOldIdentity());
 			this.cluster.crash(second);
 			Throwable violation = Try.run(() -> this.cluster.runFor(1_000)).getCause();
 			assertThat(violation).hasMessageThat().contains("changed");
@@ -196,11 +196,11 @@
 
 		private static final int REPLACEMENTS = 3;
 
-		private static void repair(SimulatedCluster cluster) {
+		private static void awaitRepair(SimulatedCluster cluster) {
 			for (int i = 0; i < 1_000 && !cluster.isRepaired(); i++) {
-				cluster.operate(cluster.randomNode());
-				cluster.claim(cluster.randomNode());
-				cluster.read();
+				cluster.proposeManifest(cluster.randomNode());
+				cluster.proposeClaim(cluster.randomNode());
+				cluster.requestRead();
 				cluster.runFor(20);
 			}
 			History.checkProgress(cluster.isRepaired(), "not repaired: " + cluster.describe());
@@ -215,18 +215,18 @@
 		void twoDisksMayBeLostAtOnceAfterEachReplacement() {
 			for (long seed = 0; seed < RUNS; seed++) {
 				SimulatedCluster cluster = new SimulatedCluster(seed, 5, new Faults());
-				cluster.rates(0.02, 0, 0.1);
-				repair(cluster);
+				cluster.setFaultRates(0.02, 0, 0.1);
+				awaitRepair(cluster);
 				for (int i = 0; i < REPLACEMENTS; i++) {
 					SimulatedNode gone = cluster.randomNode();
 					SimulatedNode fresh = cluster.replace(gone);
-					repair(cluster);
+					awaitRepair(cluster);
 					assertThat(cluster.leader().replica.membership().isVoter(fresh.id)).isTrue();
 					assertThat(cluster.leader().replica.membership().voters()).hasSize(5);
 					long acknowledged = cluster.history.acknowledgedNumber();
 					cluster.loseDisk(cluster.randomNode());
 					cluster.loseDisk(cluster.randomNode());
-					repair(cluster);
+					awaitRepair(cluster);
 					assertThat(cluster.leader().state.number()).isAtLeast(acknowledged);
 				}
 			}
@@ -304,9 +304,9 @@
 			// while another VM holds the lease.
 			assertThat(violationOf(new Faults() {
 				@Override
-				OptionalLong checkLease(SimulatedNode node) {
+				OptionalLong fencingNumber(SimulatedNode node) {
 					boolean waking = node.monotonic() - node.thawedAt() < SimulatedCluster.MILLISECOND;
-					return (waking) ? node.checkedBeforeFreeze : super.checkLease(node);
+					return (waking) ? node.fencingNumberBeforeFreeze : super.fencingNumber(node);
 				}
 			})).isEqualTo("two holders of a lease act");
 		}
@@ -315,7 +315,7 @@
 		void rejoinUnderTheOldIdentityIsCaught() {
 			// A replica whose disk is lost comes back empty as if it were the old one. It
 			// has forgotten its votes and the entries that it acknowledged.
-			assertThat(violationOf(new NaiveRejoin())).containsMatch("two leaders|committed entry");
+			assertThat(violationOf(new RejoinUnderOldIdentity())).containsMatch("two leaders|committed entry");
 		}
 
 		@Test
@@ -333,7 +333,7 @@
 	}
 
 	/** Gives an empty replica the identity of the one that lost its disk. */
-	private static final class NaiveRejoin extends Faults {
+	private static final class RejoinUnderOldIdentity extends Faults {
 
 		@Override
 		ReplicaId identityAfterDiskLoss(ReplicaId old, ReplicaId fresh) {
--- a/core/src/test/java/org/acaciacourse/core/consensus/Faults.java
+++ b/core/src/test/java/org/acaciacourse/core/consensus/Faults.java
@@ -14,12 +14,12 @@
 		return new SimulatedDisk();
 	}
 
-	ReplicaId identityAfterDiskLoss(ReplicaId old, ReplicaId fresh) {
+	ReplicaId identityAfterDiskLoss(ReplicaId previous, ReplicaId fresh) {
 		return fresh;
 	}
 
-	OptionalLong checkLease(SimulatedNode node) {
-		return node.holder.fencingNumber(node.monotonic());
+	OptionalLong fencingNumber(SimulatedNode node) {
+		return node.leaseHolder.fencingNumber(node.monotonic());
 	}
 
 	long proposedAt(SimulatedNode node, Optional<ProposalClock> clock) {
--- a/core/src/test/java/org/acaciacourse/core/consensus/History.java
+++ b/core/src/test/java/org/acaciacourse/core/consensus/History.java
@@ -45,16 +45,16 @@
 	long elections;
 
 	void elected(SimulatedNode node, long term) {
-		ReplicaId other = this.leaders.putIfAbsent(term, node.id);
-		check(other == null || other.equals(node.id), "two leaders in term " + term);
+		ReplicaId previous = this.leaders.putIfAbsent(term, node.id);
+		check(previous == null || previous.equals(node.id), "two leaders in term " + term);
 		this.elections++;
 	}
 
 	void applied(SimulatedNode node, LogEntry entry) {
 		check(entry.index() == node.appliedIndex + 1, "applied out of order");
-		LogEntry other = this.committed.putIfAbsent(entry.index(), entry);
-		boolean same = other == null
-				|| (other.term() == entry.term() && Arrays.equals(other.payload(), entry.payload()));
+		LogEntry previous = this.committed.putIfAbsent(entry.index(), entry);
+		boolean same = previous == null
+				|| (previous.term() == entry.term() && Arrays.equals(previous.payload(), entry.payload()));
 		check(same, "committed entry " + entry.index() + " changed");
 		this.lastCommitted = Math.max(this.lastCommitted, entry.index());
 	}
@@ -70,14 +70,14 @@
 			}
 		}
 		String content = result.code() + " " + state.number() + " " + state.digest() + " " + state.time();
-		String other = this.results.putIfAbsent(index, content);
-		check(other == null || other.equals(content), "replicas disagree on the result of entry " + index);
-		if (other == null && result instanceof ClaimResult claim) {
-			claimed(command, claim);
+		String previous = this.results.putIfAbsent(index, content);
+		check(previous == null || previous.equals(content), "replicas disagree on the result of entry " + index);
+		if (previous == null && result instanceof ClaimResult claim) {
+			checkClaim(command, claim);
 		}
 	}
 
-	private void claimed(Command command, ClaimResult result) {
+	private void checkClaim(Command command, ClaimResult result) {
 		if (command instanceof Command.Claim claim && result.granted()) {
 			check(this.running.add(claim.key()), "a claim was granted twice");
 		}
@@ -105,15 +105,15 @@
 		return this.lastCommitted;
 	}
 
-	static void check(boolean holds, String violation) {
+	static void check(boolean holds, String message) {
 		if (!holds) {
-			throw new Violation(violation);
+			throw new Violation(message);
 		}
 	}
 
-	static void checkProgress(boolean holds, String stall) {
+	static void checkProgress(boolean holds, String message) {
 		if (!holds) {
-			throw new Stall(stall);
+			throw new Stall(message);
 		}
 	}
 
--- a/core/src/test/java/org/acaciacourse/core/consensus/LossSequenceTests.java
+++ b/core/src/test/java/org/acaciacourse/core/consensus/LossSequenceTests.java
@@ -116,7 +116,7 @@
 			void perform(Run run) {
 				for (SimulatedNode node : List.copyOf(run.cluster.nodes.values())) {
 					run.cluster.crashFor(node, 300);
-					run.operate(600);
+					run.runWorkload(600);
 				}
 			}
 		},
@@ -152,9 +152,9 @@
 
 		private Run(long seed) {
 			this.cluster = new SimulatedCluster(seed, CLUSTER_SIZE, new Faults());
-			this.cluster.rates(0.01, 0, 0.05);
+			this.cluster.setFaultRates(0.01, 0, 0.05);
 			for (int i = 0; i < 200 && !this.cluster.isRepaired(); i++) {
-				operate(20);
+				runWorkload(20);
 			}
 		}
 
@@ -171,9 +171,9 @@
 			return this.cluster.random.nextInt(bound);
 		}
 
-		private void operate(long millis) {
+		private void runWorkload(long millis) {
 			for (long i = 0; i < millis; i += 20) {
-				this.cluster.operate(this.cluster.randomNode());
+				this.cluster.proposeManifest(this.cluster.randomNode());
 				this.cluster.runFor(20);
 			}
 		}
@@ -214,12 +214,12 @@
 			Action action = Action.values()[this.cluster.random.nextInt(Action.values().length)];
 			this.actions.append(action).append(' ');
 			action.perform(this);
-			operate(randomMillis(3_000));
+			runWorkload(randomMillis(3_000));
 		}
 
 		private void recoverAllVms() {
 			heal();
-			this.cluster.calm();
+			this.cluster.stopFaults();
 			this.cluster.runFor(CATCH_UP_MILLIS);
 		}
 
@@ -233,12 +233,12 @@
 			}
 			this.cluster.runFor(900);
 			heal();
-			this.cluster.calm();
+			this.cluster.stopFaults();
 		}
 
 		private void awaitRepair() {
 			for (int i = 0; i < 500 && !this.cluster.isRepaired(); i++) {
-				operate(20);
+				runWorkload(20);
 			}
 		}
 
--- a/core/src/test/java/org/acaciacourse/core/consensus/MembershipManagerTests.java
+++ b/core/src/test/java/org/acaciacourse/core/consensus/MembershipManagerTests.java
@@ -20,7 +20,7 @@
 
 	private static final Member C = member(3, "c", true);
 
-	private static final Member NEW_B = member(4, "b", false);
+	private static final Member LEARNER_B = member(4, "b", false);
 
 	private final MembershipManager manager = new MembershipManager();
 
@@ -34,33 +34,33 @@
 	}
 
 	@Test
-	void newLeaderFinishesWhatTheLastOneBegan() {
+	void newLeaderContinuesAReplacement() {
 		// The leader fails after each step. The next one knows nothing but the committed
 		// membership and must neither stop half way nor promote a learner too early.
 		Membership current = new Membership(List.of(A, B, C));
-		this.manager.join(NEW_B);
+		this.manager.join(LEARNER_B);
 		current = next(current, 10, (id) -> 0).orElseThrow();
-		assertThat(current.members()).containsExactly(A, B, C, NEW_B);
+		assertThat(current.members()).containsExactly(A, B, C, LEARNER_B);
 		this.manager.leadershipLost();
 		assertThat(next(current, 20, (id) -> 19)).isEqualTo(Optional.empty());
 		this.manager.leadershipLost();
 		current = next(current, 30, (id) -> 30).orElseThrow();
-		assertThat(current.members()).containsExactly(A, C, NEW_B);
+		assertThat(current.members()).containsExactly(A, C, LEARNER_B);
 		this.manager.leadershipLost();
 		current = next(current, 40, (id) -> 40).orElseThrow();
-		assertThat(current.voters()).containsExactly(A.id(), C.id(), NEW_B.id());
+		assertThat(current.voters()).containsExactly(A.id(), C.id(), LEARNER_B.id());
 		assertThat(next(current, 50, (id) -> 50)).isEqualTo(Optional.empty());
 	}
 
 	@Test
-	void pointToCatchUpToDoesNotMoveAway() {
-		Membership current = new Membership(List.of(A, C, NEW_B));
+	void catchUpTargetStaysFixed() {
+		Membership current = new Membership(List.of(A, C, LEARNER_B));
 		assertThat(next(current, 10, (id) -> 5)).isEqualTo(Optional.empty());
 		assertThat(next(current, 99, (id) -> 10)).isNotEqualTo(Optional.empty());
 	}
 
 	@Test
-	void voterThatAnswersIsNotReplaced() {
+	void voterInContactIsNotReplaced() {
 		// A second process starts with the name of a VM that works. It must not push the
 		// replica out that holds the log.
 		Membership current = new Membership(List.of(A, B, C, member(5, "a", false)));
@@ -68,17 +68,17 @@
 	}
 
 	@Test
-	void learnerThatLostItsDiskAgainMakesRoomForTheNext() {
-		Membership current = new Membership(List.of(A, B, C, NEW_B));
+	void learnerThatLostItsDiskAgainIsRemoved() {
+		Membership current = new Membership(List.of(A, B, C, LEARNER_B));
 		this.manager.join(member(6, "b", false));
 		assertThat(next(current, 10, (id) -> 0)).isEqualTo(Optional.of(new Membership(List.of(A, B, C))));
 	}
 
 	@Test
-	void twoProcessesWithTheNameOfOneVmDoNotTakeTurns() {
+	void twoProcessesOfOneVmDoNotReplaceEachOther() {
 		// Both ask to join again and again. If each replaced the other, the log would
 		// fill with changes of the membership and none would ever catch up.
-		Membership current = new Membership(List.of(A, C, NEW_B));
+		Membership current = new Membership(List.of(A, C, LEARNER_B));
 		this.manager.join(member(6, "b", false));
 		assertThat(this.manager.next(current, true, 10, (id) -> 0, (id) -> true)).isEqualTo(Optional.empty());
 	}
@@ -88,16 +88,16 @@
 	// newcomer takes its place once it has caught up, and not while the voter may only be
 	// restarting.
 	@Test
-	void voterThatIsLongGoneGivesItsPlaceToANewVm() {
+	void longAbsentVoterIsReplacedByANewVm() {
 		Member d = member(7, "d", true);
 		Member e = member(8, "e", true);
 		Member f = member(9, "f", false);
 		Membership full = new Membership(List.of(A, B, C, d, e, f));
 		this.manager.observe(full, (id) -> !id.equals(B.id()), 0);
 		assertThat(nextWithoutB(full)).isEqualTo(Optional.empty());
-		this.manager.observe(full, (id) -> !id.equals(B.id()), MembershipManager.GONE_NANOS - 1);
+		this.manager.observe(full, (id) -> !id.equals(B.id()), MembershipManager.MAX_ABSENCE_NANOS - 1);
 		assertThat(nextWithoutB(full)).isEqualTo(Optional.empty());
-		this.manager.observe(full, (id) -> !id.equals(B.id()), MembershipManager.GONE_NANOS);
+		this.manager.observe(full, (id) -> !id.equals(B.id()), MembershipManager.MAX_ABSENCE_NANOS);
 		Membership without = nextWithoutB(full).orElseThrow();
 		assertThat(without.members()).containsExactly(A, C, d, e, f);
 		Membership replaced = nextWithoutB(without).orElseThrow();
@@ -120,7 +120,7 @@
 			Set<ReplicaId> absent = Set.of(new ReplicaId(first + 1), new ReplicaId(first + 3));
 			MembershipManager leader = new MembershipManager();
 			leader.observe(full, (id) -> !absent.contains(id), 0);
-			leader.observe(full, (id) -> !absent.contains(id), MembershipManager.GONE_NANOS);
+			leader.observe(full, (id) -> !absent.contains(id), MembershipManager.MAX_ABSENCE_NANOS);
 			Optional<Membership> next = leader.next(full, true, 10, (id) -> 10, (id) -> !absent.contains(id));
 			assertThat(next).isEqualTo(Optional.of(full.without(new ReplicaId(first + 1))));
 		}
@@ -139,7 +139,7 @@
 				this.manager.observe(full, (id) -> !id.equals(first.id()), 0);
 				this.manager.observe(full, (id) -> !id.equals(first.id()) && !id.equals(second.id()), 1);
 				this.manager.observe(full, (id) -> !id.equals(first.id()) && !id.equals(second.id()),
-						2 * MembershipManager.GONE_NANOS);
+						2 * MembershipManager.MAX_ABSENCE_NANOS);
 				Membership without = this.manager
 					.next(full, true, 10, (id) -> 10, (id) -> !id.equals(first.id()) && !id.equals(second.id()))
 					.orElseThrow();
@@ -149,12 +149,12 @@
 	}
 
 	@Test
-	void voterThatAnswersAgainKeepsItsPlace() {
+	void voterBackInContactIsNotRemoved() {
 		Membership full = new Membership(
 				List.of(A, B, C, member(7, "d", true), member(8, "e", true), member(9, "f", false)));
 		this.manager.observe(full, (id) -> !id.equals(B.id()), 0);
-		this.manager.observe(full, (id) -> true, MembershipManager.GONE_NANOS - 1);
-		this.manager.observe(full, (id) -> !id.equals(B.id()), MembershipManager.GONE_NANOS + 1);
+		this.manager.observe(full, (id) -> true, MembershipManager.MAX_ABSENCE_NANOS - 1);
+		this.manager.observe(full, (id) -> !id.equals(B.id()), MembershipManager.MAX_ABSENCE_NANOS + 1);
 		assertThat(nextWithoutB(full)).isEqualTo(Optional.empty());
 	}
 
@@ -162,22 +162,22 @@
 	// control VMs one by one stops the next one. Were it a learner still, two voters of
 	// three would be gone, and the log would stop until one of them came back.
 	@Test
-	void replicaThatJoinsIsSettledAsAVoterOnly() {
-		assertThat(MembershipManager.isSettled(new Membership(List.of(A, B, C)), NEW_B.id())).isFalse();
-		assertThat(MembershipManager.isSettled(new Membership(List.of(A, B, C, NEW_B)), NEW_B.id())).isFalse();
-		Membership removed = new Membership(List.of(A, C, NEW_B));
-		assertThat(MembershipManager.isSettled(removed, NEW_B.id())).isFalse();
+	void joiningReplicaHasItsFinalRoleOnlyAsAVoter() {
+		assertThat(MembershipManager.isSettled(new Membership(List.of(A, B, C)), LEARNER_B.id())).isFalse();
+		assertThat(MembershipManager.isSettled(new Membership(List.of(A, B, C, LEARNER_B)), LEARNER_B.id())).isFalse();
+		Membership removed = new Membership(List.of(A, C, LEARNER_B));
+		assertThat(MembershipManager.isSettled(removed, LEARNER_B.id())).isFalse();
 		Membership promoted = removed.with(member(4, "b", true));
-		assertThat(MembershipManager.isSettled(promoted, NEW_B.id())).isTrue();
+		assertThat(MembershipManager.isSettled(promoted, LEARNER_B.id())).isTrue();
 	}
 
 	@Test
-	void learnerIsSettledWhileTheVotersOfOthersFillAllPlaces() {
+	void spareLearnerHasItsFinalRole() {
 		Member spare = member(9, "f", false);
 		Membership full = new Membership(List.of(A, B, C, member(7, "d", true), member(8, "e", true), spare));
 		assertThat(MembershipManager.isSettled(full, spare.id())).isTrue();
-		Membership replaced = full.with(NEW_B);
-		assertThat(MembershipManager.isSettled(replaced, NEW_B.id())).isFalse();
+		Membership replaced = full.with(LEARNER_B);
+		assertThat(MembershipManager.isSettled(replaced, LEARNER_B.id())).isFalse();
 	}
 
 	private Optional<Membership> nextWithoutB(Membership current) {
--- a/core/src/test/java/org/acaciacourse/core/consensus/ReplicaTests.java
+++ b/core/src/test/java/org/acaciacourse/core/consensus/ReplicaTests.java
@@ -27,7 +27,7 @@
 
 	private static final Member C = new Member(new ReplicaId(3), "c", "c", true);
 
-	private final Recorder recorder = new Recorder();
+	private final RecordingActions recorder = new RecordingActions();
 
 	// Entry 1 lists all three, and more follow, all of term 1.
 	private Replica replica(int entries) {
@@ -82,7 +82,7 @@
 		}
 
 		@Test
-		void leaderCountsItselfOnlyOnceItsDiskHoldsTheEntry() {
+		void leaderCountsItselfOnlyOnceTheEntryIsDurable() {
 			// The only replica of a new system acknowledges a manifest and loses power
 			// before the sync. The operator would find the manifest gone.
 			Replica replica = start(RecoveredLog.bootstrap(A));
@@ -100,7 +100,7 @@
 	// All VMs lose power and start at once. Two replicas that stand within the time of a
 	// vote take each other's votes, and callers wait for a second round.
 	@Nested
-	class StartOfAll {
+	class SimultaneousStart {
 
 		@Test
 		void firstTimersFollowTheOrderOfIdentities() {
@@ -145,7 +145,7 @@
 		}
 
 		@Test
-		void candidateIsRefusedWhileTheLeaderIsHeard() {
+		void candidateIsRefusedWhileTheLeaderIsInContact() {
 			// A replica that cannot hear the leader stands for election. Those that hear
 			// it must neither grant this nor take over the higher term.
 			Replica replica = replica(1);
@@ -178,7 +178,7 @@
 	}
 
 	/** Keeps what was asked for. */
-	private static final class Recorder implements ReplicaActions {
+	private static final class RecordingActions implements ReplicaActions {
 
 		private final List<Snapshot> installed = new ArrayList<>();
 
--- a/core/src/test/java/org/acaciacourse/core/consensus/ReturningVmTests.java
+++ b/core/src/test/java/org/acaciacourse/core/consensus/ReturningVmTests.java
@@ -17,14 +17,14 @@
 
 	private static SimulatedCluster cluster(long seed, int size) {
 		SimulatedCluster cluster = new SimulatedCluster(seed, size, new Faults());
-		cluster.rates(0.02, 0, 0.1);
+		cluster.setFaultRates(0.02, 0, 0.1);
 		return cluster;
 	}
 
 	private static void runWorkload(SimulatedCluster cluster, long millis) {
 		for (long i = 0; i < millis; i += 20) {
-			cluster.operate(cluster.randomNode());
-			cluster.read();
+			cluster.proposeManifest(cluster.randomNode());
+			cluster.requestRead();
 			cluster.runFor(20);
 		}
 	}
@@ -48,7 +48,7 @@
 	 * One VM is partitioned from the others while another is replaced permanently.
 	 */
 	@Nested
-	class CutOffDuringAReplacement {
+	class PartitionedDuringReplacement {
 
 		private SimulatedCluster cluster;
 
@@ -68,7 +68,7 @@
 		// Guards against a removed VM that never rejoins because it did not receive its
 		// own removal, while a dead VM remains a voter.
 		@Test
-		void returnsAndTakesThePlaceOfTheDeadVm() {
+		void rejoinsInPlaceOfTheReplacedVm() {
 			for (long seed = 0; seed < RUNS; seed++) {
 				replaceWhileIsolated(seed, false);
 				awaitRepair(this.cluster);
@@ -78,7 +78,7 @@
 		// Guards against a former leader that keeps standing for election and never
 		// rejoins.
 		@Test
-		void formerLeaderReturns() {
+		void formerLeaderRejoins() {
 			for (long seed = 0; seed < RUNS; seed++) {
 				replaceWhileIsolated(seed, true);
 				awaitRepair(this.cluster);
@@ -107,11 +107,11 @@
 	 * A voter is down for longer than the allowed absence while there is a spare learner.
 	 */
 	@Nested
-	class DownWhileASpareIsThere {
+	class DownWhileASpareLearnerExists {
 
 		// Guards against a VM that never rejoins after a slow restart.
 		@Test
-		void returnsAsTheSpare() {
+		void rejoinsAsTheSpareLearner() {
 			for (long seed = 0; seed < RUNS; seed++) {
 				SimulatedCluster cluster = cluster(seed, 6);
 				runWorkload(cluster, 2_000);
--- a/core/src/test/java/org/acaciacourse/core/consensus/SimulatedCluster.java
+++ b/core/src/test/java/org/acaciacourse/core/consensus/SimulatedCluster.java
@@ -40,15 +40,15 @@
 
 	final Map<String, SimulatedNode> nodes = new TreeMap<>();
 
-	final Map<String, Long> injected = new TreeMap<>();
+	final Map<String, Long> faultCounts = new TreeMap<>();
 
 	private final PriorityQueue<Event> events = new PriorityQueue<>();
 
-	private final Map<ReplicaId, SimulatedNode> byId = new HashMap<>();
+	private final Map<ReplicaId, SimulatedNode> nodesById = new HashMap<>();
 
 	private final List<Object> registry = new ArrayList<>();
 
-	private final Set<String> cuts = new HashSet<>();
+	private final Set<String> cutLinks = new HashSet<>();
 
 	private long lastNumber;
 
@@ -58,7 +58,7 @@
 
 	private double slowRate;
 
-	private boolean calm;
+	private boolean faultsStopped;
 
 	long now = 1_000 * MILLISECOND;
 
@@ -76,7 +76,7 @@
 				disk.format(RecoveredLog.bootstrap(new Member(id, vm, vm, true)));
 			}
 			start(vm, id, disk);
-			at(this.now + TICK, vm, () -> tick(vm));
+			schedule(this.now + TICK, vm, () -> tick(vm));
 		}
 	}
 
@@ -100,7 +100,7 @@
 	SimulatedNode start(String vm, ReplicaId id, SimulatedDisk disk) {
 		SimulatedNode node = new SimulatedNode(this, vm, id, disk);
 		this.nodes.put(vm, node);
-		this.byId.put(id, node);
+		this.nodesById.put(id, node);
 		return node;
 	}
 
@@ -126,10 +126,10 @@
 			event.action.run();
 			// Several events may share a sync; long stalls of the disk come with the
 			// faults.
-			if (node.up && (this.calm || this.random.nextInt(3) > 0)) {
+			if (node.up && (this.faultsStopped || this.random.nextInt(3) > 0)) {
 				node.flush();
 			}
-			checkHolders();
+			checkLeaseHolders();
 		}
 		this.now = end;
 	}
@@ -139,10 +139,10 @@
 	}
 
 	void send(String from, ReplicaId to, ReplicaMessage message) {
-		SimulatedNode receiver = this.byId.get(to);
+		SimulatedNode receiver = this.nodesById.get(to);
 		int copies = (this.random.nextDouble() < this.lossRate / 2) ? 2 : 1;
 		if (copies == 2) {
-			count("duplicated message");
+			countFault("duplicated message");
 		}
 		for (int i = 0; i < copies; i++) {
 			call(from, receiver, (node) -> {
@@ -155,13 +155,13 @@
 
 	void call(String from, SimulatedNode to, Consumer<SimulatedNode> action) {
 		boolean lost = !from.equals(to.vm) && this.random.nextDouble() < this.lossRate;
-		if (lost || (!this.cuts.isEmpty() && this.cuts.contains(from + ">" + to.vm))) {
-			count("lost message");
+		if (lost || (!this.cutLinks.isEmpty() && this.cutLinks.contains(from + ">" + to.vm))) {
+			countFault("lost message");
 			return;
 		}
-		long slow = (this.random.nextDouble() < this.slowRate) ? 60 * MILLISECOND : MILLISECOND;
-		long delay = 200_000 + (long) (this.random.nextDouble() * slow);
-		at(this.now + delay, to.vm, () -> {
+		long maxJitter = (this.random.nextDouble() < this.slowRate) ? 60 * MILLISECOND : MILLISECOND;
+		long delay = 200_000 + (long) (this.random.nextDouble() * maxJitter);
+		schedule(this.now + delay, to.vm, () -> {
 			SimulatedNode node = this.nodes.get(to.vm);
 			if (node.up) {
 				action.accept(node);
@@ -169,21 +169,21 @@
 		});
 	}
 
-	void acquire(SimulatedNode asking, long request) {
-		call(asking.vm, randomNode(), (node) -> {
-			if (!node.mayPropose()) {
+	void acquireLease(SimulatedNode requester, long request) {
+		call(requester.vm, randomNode(), (node) -> {
+			if (!node.canPropose()) {
 				return;
 			}
-			Command command = new Command.AcquireLease(node.proposedAt(), "writer", asking.holderName,
+			Command command = new Command.AcquireLease(node.proposedAt(), "writer", requester.leaseHolderName,
 					SimulatedNode.LEASE_TIMING.durationNanos() / MILLISECOND);
 			node.propose(command, (result) -> {
 				LeaseResult lease = (LeaseResult) result;
-				call(node.vm, asking, (holder) -> {
-					if (holder == asking && lease.code() == ResultCode.OK) {
-						holder.holder.granted(request, lease.fencingNumber());
+				call(node.vm, requester, (holder) -> {
+					if (holder == requester && lease.code() == ResultCode.OK) {
+						holder.leaseHolder.granted(request, lease.fencingNumber());
 					}
-					else if (holder == asking) {
-						holder.holder.refused(request, true);
+					else if (holder == requester) {
+						holder.leaseHolder.refused(request, true);
 					}
 				});
 			});
@@ -191,8 +191,8 @@
 	}
 
 	/** Operators race: several propose the same number, also to a leader of old. */
-	void operate(SimulatedNode node) {
-		if (!node.up || node.frozenUntil > this.now || !node.mayPropose()) {
+	void proposeManifest(SimulatedNode node) {
+		if (!node.up || node.frozenUntil > this.now || !node.canPropose()) {
 			return;
 		}
 		TreeMap<String, java.util.SortedMap<String, String>> sections = new TreeMap<>();
@@ -205,8 +205,8 @@
 	}
 
 	// Callers resend a request through other VMs; only one may be let through.
-	void claim(SimulatedNode node) {
-		if (!node.up || node.frozenUntil > this.now || !node.mayPropose()) {
+	void proposeClaim(SimulatedNode node) {
+		if (!node.up || node.frozenUntil > this.now || !node.canPropose()) {
 			return;
 		}
 		ClaimKey key = new ClaimKey("customer", "key" + this.random.nextInt(5));
@@ -214,13 +214,13 @@
 		Command claim = new Command.Claim(node.proposedAt(), key, "content", owner);
 		node.propose(claim, (result) -> {
 			if (((ClaimResult) result).granted() && this.random.nextBoolean()) {
-				at(this.now, node.vm, () -> notRun(node, key, owner));
+				schedule(this.now, node.vm, () -> releaseClaim(node, key, owner));
 			}
 		});
 	}
 
-	private static void notRun(SimulatedNode node, ClaimKey key, String owner) {
-		if (node.up && node.mayPropose()) {
+	private static void releaseClaim(SimulatedNode node, ClaimKey key, String owner) {
+		if (node.up && node.canPropose()) {
 			node.propose(new Command.CompleteClaim(node.proposedAt(), key, owner, ClaimOutcome.NOT_RUN, new byte[0]),
 					(result) -> {
 					});
@@ -228,17 +228,17 @@
 	}
 
 	// A frozen node finds the request when it wakes, perhaps before it notices the time.
-	void read() {
-		SimulatedNode asked = randomNode();
-		at(this.now, asked.vm, () -> {
-			SimulatedNode node = this.nodes.get(asked.vm);
+	void requestRead() {
+		SimulatedNode receiver = randomNode();
+		schedule(this.now, receiver.vm, () -> {
+			SimulatedNode node = this.nodes.get(receiver.vm);
 			if (node.up) {
-				read(node);
+				requestRead(node);
 			}
 		});
 	}
 
-	private void read(SimulatedNode node) {
+	private void requestRead(SimulatedNode node) {
 		long number = this.history.acknowledgedNumber();
 		long index = this.history.acknowledgedIndex();
 		node.read(() -> {
@@ -247,7 +247,7 @@
 		});
 	}
 
-	boolean mayCrash(SimulatedNode node, int weight) {
+	boolean crashAtRandom(SimulatedNode node, int weight) {
 		if (this.random.nextDouble() < this.crashRate * weight) {
 			crashFor(node, this.random.nextInt((weight > 1 || this.random.nextBoolean()) ? 3 : 200));
 		}
@@ -261,8 +261,8 @@
 		if (leader == null) {
 			return;
 		}
-		count("raced election");
-		boolean cut = this.random.nextBoolean();
+		countFault("raced election");
+		boolean cutCandidates = this.random.nextBoolean();
 		ReplicaMessage message = new ReplicaMessage.TimeoutNow(leader.id, leader.replica.status().term());
 		List<SimulatedNode> candidates = this.nodes.values()
 			.stream()
@@ -271,8 +271,8 @@
 			.toList();
 		for (SimulatedNode node : candidates) {
 			call(leader.vm, node, (candidate) -> candidate.replica.receive(message, candidate.monotonic()));
-			if (cut) {
-				candidates.forEach((other) -> cut(node.vm, other.vm));
+			if (cutCandidates) {
+				candidates.forEach((other) -> cutLink(node.vm, other.vm));
 			}
 		}
 	}
@@ -280,12 +280,12 @@
 	void crashFor(SimulatedNode node, long millis) {
 		if (node.up) {
 			crash(node);
-			at(this.now + millis * MILLISECOND, node.vm, () -> restart(node));
+			schedule(this.now + millis * MILLISECOND, node.vm, () -> restart(node));
 		}
 	}
 
 	void crash(SimulatedNode node) {
-		count("crash");
+		countFault("crash");
 		node.up = false;
 		node.disk.crash(this.random);
 	}
@@ -298,21 +298,21 @@
 
 	/** The disk is gone; an empty one takes its place, at once or when the VM is back. */
 	SimulatedNode loseDisk(SimulatedNode node) {
-		count("lost disk");
+		countFault("lost disk");
 		node.up = false;
 		ReplicaId id = this.faults.identityAfterDiskLoss(node.id, new ReplicaId(nextNumber()));
 		return start(node.vm, id, this.faults.newDisk());
 	}
 
 	/** The VM is gone for good, and an empty one with another name takes its place. */
-	SimulatedNode replace(SimulatedNode gone) {
-		count("replaced VM");
-		gone.up = false;
-		this.nodes.remove(gone.vm);
+	SimulatedNode replace(SimulatedNode replaced) {
+		countFault("replaced VM");
+		replaced.up = false;
+		this.nodes.remove(replaced.vm);
 		String vm = "vm" + nextNumber();
-		SimulatedNode fresh = start(vm, new ReplicaId(nextNumber()), this.faults.newDisk());
-		at(this.now + TICK, vm, () -> tick(vm));
-		return fresh;
+		SimulatedNode replacement = start(vm, new ReplicaId(nextNumber()), this.faults.newDisk());
+		schedule(this.now + TICK, vm, () -> tick(vm));
+		return replacement;
 	}
 
 	boolean isRepaired() {
@@ -320,42 +320,42 @@
 			.stream()
 			.filter((node) -> node.replica.isLeader() && node.up)
 			.anyMatch((node) -> node.replica.isMembershipCommitted()
-					&& node.replica.membership().voters().equals(currentIds()) && hasNoLearners(node));
+					&& node.replica.membership().voters().equals(nodeIds()) && hasNoLearners(node));
 	}
 
 	void freeze(SimulatedNode node, long millis) {
-		count("freeze");
-		node.checkedBeforeFreeze = node.holder.fencingNumber(node.monotonic());
+		countFault("freeze");
+		node.fencingNumberBeforeFreeze = node.leaseHolder.fencingNumber(node.monotonic());
 		node.frozenUntil = this.now + millis * MILLISECOND;
 	}
 
-	void cut(String from, String to) {
-		count("cut");
-		this.cuts.add(from + ">" + to);
+	void cutLink(String from, String to) {
+		countFault("cut");
+		this.cutLinks.add(from + ">" + to);
 	}
 
 	void isolate(String vm) {
 		this.nodes.keySet().forEach((other) -> {
-			cut(vm, other);
-			cut(other, vm);
+			cutLink(vm, other);
+			cutLink(other, vm);
 		});
 	}
 
 	void heal() {
-		this.cuts.clear();
+		this.cutLinks.clear();
 	}
 
-	void rates(double loss, double crash, double slow) {
+	void setFaultRates(double loss, double crash, double slow) {
 		this.lossRate = loss;
 		this.slowRate = slow;
 		this.crashRate = crash;
 	}
 
 	/** All faults end; whoever is down starts again. */
-	void calm() {
-		this.calm = true;
+	void stopFaults() {
+		this.faultsStopped = true;
 		heal();
-		rates(0, 0, 0);
+		setFaultRates(0, 0, 0);
 		List.copyOf(this.nodes.values()).forEach((node) -> {
 			node.frozenUntil = 0;
 			restart(node);
@@ -365,7 +365,7 @@
 	SimulatedNode leader() {
 		return this.nodes.values()
 			.stream()
-			.filter((node) -> node.up && node.mayPropose())
+			.filter((node) -> node.up && node.canPropose())
 			.max((a, b) -> Long.compare(a.replica.status().term(), b.replica.status().term()))
 			.orElse(null);
 	}
@@ -384,8 +384,8 @@
 		return text.toString();
 	}
 
-	void count(String fault) {
-		this.injected.merge(fault, 1L, Long::sum);
+	void countFault(String fault) {
+		this.faultCounts.merge(fault, 1L, Long::sum);
 	}
 
 	private void tick(String vm) {
@@ -393,24 +393,24 @@
 		if (node.up) {
 			node.tick();
 		}
-		at(this.now + TICK, vm, () -> tick(vm));
+		schedule(this.now + TICK, vm, () -> tick(vm));
 	}
 
-	private void checkHolders() {
+	private void checkLeaseHolders() {
 		int holders = 0;
 		for (SimulatedNode node : this.nodes.values()) {
-			holders += (acts(node)) ? 1 : 0;
+			holders += (holdsLease(node)) ? 1 : 0;
 		}
 		History.check(holders <= 1, "two holders of a lease act");
 	}
 
-	private boolean acts(SimulatedNode node) {
-		OptionalLong number = (node.up && node.frozenUntil <= this.now) ? this.faults.checkLease(node)
+	private boolean holdsLease(SimulatedNode node) {
+		OptionalLong number = (node.up && node.frozenUntil <= this.now) ? this.faults.fencingNumber(node)
 				: OptionalLong.empty();
 		return number.isPresent();
 	}
 
-	private Set<ReplicaId> currentIds() {
+	private Set<ReplicaId> nodeIds() {
 		Set<ReplicaId> ids = new HashSet<>();
 		this.nodes.values().forEach((node) -> ids.add(node.id));
 		return ids;
@@ -420,7 +420,7 @@
 		return node.replica.membership().members().stream().allMatch(Member::voter);
 	}
 
-	private void at(long time, String vm, Runnable action) {
+	private void schedule(long time, String vm, Runnable action) {
 		this.events.add(new Event(time, nextNumber(), vm, action));
 	}
 
--- a/core/src/test/java/org/acaciacourse/core/consensus/SimulatedDisk.java
+++ b/core/src/test/java/org/acaciacourse/core/consensus/SimulatedDisk.java
@@ -21,7 +21,7 @@
 
 	private final List<LogEntry> entries = new ArrayList<>();
 
-	private long lastWritten;
+	private long lastWrittenIndex;
 
 	private long lastWrittenTerm;
 
@@ -38,7 +38,7 @@
 		for (LogEntry entry : added) {
 			this.unsynced.add(() -> write(entry));
 		}
-		written(added.get(added.size() - 1).index(), added.get(added.size() - 1).term());
+		recordWrite(added.get(added.size() - 1).index(), added.get(added.size() - 1).term());
 	}
 
 	void install(Snapshot next) {
@@ -46,7 +46,7 @@
 			this.entries.clear();
 			this.snapshot = Optional.of(next);
 		});
-		written(next.index(), next.term());
+		recordWrite(next.index(), next.term());
 	}
 
 	void compact(Snapshot next) {
@@ -76,16 +76,16 @@
 		return new RecoveredLog(this.hardState, this.snapshot, this.entries);
 	}
 
-	long lastWritten() {
-		return this.lastWritten;
+	long lastWrittenIndex() {
+		return this.lastWrittenIndex;
 	}
 
 	long lastWrittenTerm() {
 		return this.lastWrittenTerm;
 	}
 
-	private void written(long index, long term) {
-		this.lastWritten = index;
+	private void recordWrite(long index, long term) {
+		this.lastWrittenIndex = index;
 		this.lastWrittenTerm = term;
 	}
 
--- a/core/src/test/java/org/acaciacourse/core/consensus/SimulatedNode.java
+++ b/core/src/test/java/org/acaciacourse/core/consensus/SimulatedNode.java
@@ -36,9 +36,9 @@
 
 	final SimulatedDisk disk;
 
-	final LeaseHolder holder = new LeaseHolder(LEASE_TIMING);
+	final LeaseHolder leaseHolder = new LeaseHolder(LEASE_TIMING);
 
-	final String holderName;
+	final String leaseHolderName;
 
 	private final MembershipManager manager = new MembershipManager();
 
@@ -48,7 +48,7 @@
 
 	private final Map<Long, Runnable> reads = new HashMap<>();
 
-	private final TreeMap<Long, List<Runnable>> readsAt = new TreeMap<>();
+	private final TreeMap<Long, List<Runnable>> readsByIndex = new TreeMap<>();
 
 	ControlState state = new ControlState();
 
@@ -58,24 +58,24 @@
 
 	private long appliedTerm;
 
-	private Optional<ProposalClock> clock = Optional.empty();
+	private Optional<ProposalClock> proposalClock = Optional.empty();
 
-	private long clockTerm;
+	private long leaderTerm;
 
 	boolean up = true;
 
 	long frozenUntil;
 
-	private boolean voted;
+	private boolean votePending;
 
-	OptionalLong checkedBeforeFreeze = OptionalLong.empty();
+	OptionalLong fencingNumberBeforeFreeze = OptionalLong.empty();
 
 	SimulatedNode(SimulatedCluster cluster, String vm, ReplicaId id, SimulatedDisk disk) {
 		this.cluster = cluster;
 		this.vm = vm;
 		this.id = id;
 		this.disk = disk;
-		this.holderName = vm + "-" + cluster.nextNumber();
+		this.leaseHolderName = vm + "-" + cluster.nextNumber();
 		RecoveredLog recovered = disk.recover();
 		recovered.snapshot().ifPresent(this::restore);
 		this.replica = new Replica(id, vm, recovered, TIMING, cluster.nextNumber() * 31 + cluster.seed, this,
@@ -96,7 +96,7 @@
 	}
 
 	long proposedAt() {
-		return this.cluster.faults.proposedAt(this, this.clock);
+		return this.cluster.faults.proposedAt(this, this.proposalClock);
 	}
 
 	void tick() {
@@ -118,7 +118,7 @@
 				}
 			});
 		}
-		this.holder.request(monotonic()).ifPresent((request) -> this.cluster.acquire(this, request));
+		this.leaseHolder.request(monotonic()).ifPresent((request) -> this.cluster.acquireLease(this, request));
 	}
 
 	void propose(Command command, Consumer<CommandResult> done) {
@@ -138,22 +138,22 @@
 
 	// One sync for all events since the last one, then the messages, as the daemon does.
 	void flush() {
-		long index = this.disk.lastWritten();
+		long index = this.disk.lastWrittenIndex();
 		long term = this.disk.lastWrittenTerm();
 		boolean dirty = this.disk.isDirty();
 		// Votes are rare, and a crash right after one is what an election must survive.
-		int weight = (this.voted) ? 10 : 1;
-		if (dirty && this.cluster.mayCrash(this, weight)) {
+		int weight = (this.votePending) ? 10 : 1;
+		if (dirty && this.cluster.crashAtRandom(this, weight)) {
 			return;
 		}
 		this.disk.sync();
-		if (dirty && this.cluster.mayCrash(this, weight)) {
+		if (dirty && this.cluster.crashAtRandom(this, weight)) {
 			return;
 		}
 		this.outbox.forEach(Runnable::run);
 		this.outbox.clear();
-		this.voted = false;
-		if (!dirty || !this.cluster.mayCrash(this, 5 * weight)) {
+		this.votePending = false;
+		if (!dirty || !this.cluster.crashAtRandom(this, 5 * weight)) {
 			this.replica.durable(index, term, monotonic());
 		}
 	}
@@ -173,7 +173,7 @@
 	@Override
 	public void persist(HardState hardState) {
 		this.disk.persist(hardState);
-		this.voted = hardState.votedFor().isPresent();
+		this.votePending = hardState.votedFor().isPresent();
 	}
 
 	@Override
@@ -183,7 +183,7 @@
 
 	@Override
 	public void install(Snapshot snapshot) {
-		this.cluster.count("installed snapshot");
+		this.cluster.countFault("installed snapshot");
 		this.disk.install(snapshot);
 		restore(snapshot);
 		serveReads();
@@ -206,15 +206,15 @@
 			this.cluster.history.result(entry.index(), command, result, this.state);
 			Optional.ofNullable(this.proposals.remove(number)).ifPresent((done) -> done.accept(result));
 		}
-		else if (entry.kind() == LogEntry.Kind.NOOP && entry.term() == this.clockTerm) {
-			this.clock = Optional.of(new ProposalClock(this.state, wallMillis(), monotonic()));
+		else if (entry.kind() == LogEntry.Kind.NOOP && entry.term() == this.leaderTerm) {
+			this.proposalClock = Optional.of(new ProposalClock(this.state, wallMillis(), monotonic()));
 		}
 		serveReads();
 	}
 
 	@Override
 	public void readReady(long readId, long index) {
-		this.readsAt.computeIfAbsent(index, (key) -> new ArrayList<>()).add(this.reads.remove(readId));
+		this.readsByIndex.computeIfAbsent(index, (key) -> new ArrayList<>()).add(this.reads.remove(readId));
 		serveReads();
 	}
 
@@ -227,12 +227,12 @@
 	@Override
 	public void statusChanged(ReplicaStatus status) {
 		if (status.role() == ReplicaStatus.Role.LEADER) {
-			this.clockTerm = status.term();
+			this.leaderTerm = status.term();
 			this.cluster.history.elected(this, status.term());
 		}
 		else {
 			this.manager.leadershipLost();
-			this.clock = Optional.empty();
+			this.proposalClock = Optional.empty();
 		}
 	}
 
@@ -240,8 +240,8 @@
 		return 1_000 + (this.vm.hashCode() % 3) - 1;
 	}
 
-	boolean mayPropose() {
-		return this.clock.isPresent() && this.replica.isLeader();
+	boolean canPropose() {
+		return this.proposalClock.isPresent() && this.replica.isLeader();
 	}
 
 	private void restore(Snapshot snapshot) {
@@ -252,7 +252,7 @@
 	}
 
 	private void serveReads() {
-		Map<Long, List<Runnable>> due = this.readsAt.headMap(this.appliedIndex, true);
+		Map<Long, List<Runnable>> due = this.readsByIndex.headMap(this.appliedIndex, true);
 		due.values().forEach((served) -> served.forEach(Runnable::run));
 		due.clear();
 	}
