--- a/core/src/main/java/org/acaciacourse/core/consensus/Election.java
+++ b/core/src/main/java/org/acaciacourse/core/consensus/Election.java
@@ -5,38 +5,40 @@
 import java.util.Set;
 
 /**
- * The timer of elections and the tally of the one that runs. Invariant: the timer is
- * drawn anew each time, so that candidates which collided once rarely do so again.
+ * The election timer and the votes of the current election. Invariant: the timeout is
+ * randomized each time the timer restarts, so that candidates which have split the vote
+ * once rarely do so again.
  * <p>
  * Not thread safe: belongs to one {@link Replica}.
  */
 final class Election {
 
 	/**
-	 * The part of the timeout after which a replica stands that has heard of no leader
-	 * since it started. After all replicas were lost at once nobody leads, and the whole
-	 * timeout would pass for nothing; a leader that works is safe, as those that hear it
-	 * refuse the pre-vote. Long enough for a vote in a process that runs each step for
-	 * the first time, some tens of milliseconds.
+	 * The fraction of the election timeout that applies to a replica which has had no
+	 * contact with a leader since it started. After all replicas were lost at once there
+	 * is no leader, and waiting for the whole timeout would gain nothing. A working
+	 * leader is not deposed, as the replicas in contact with it refuse the pre-vote. The
+	 * fraction leaves enough time for a vote in a process that runs each step for the
+	 * first time, which takes some tens of milliseconds.
 	 */
 	private static final double NO_LEADER_TIMEOUT_RATIO = 0.12;
 
 	/**
-	 * The part of the timeout after which the first of the voters stands for the first
-	 * time after its start.
+	 * The fraction of the election timeout after which the first of the voters starts its
+	 * first election.
 	 */
 	private static final double INITIAL_TIMEOUT_RATIO = 0.06;
 
 	/**
-	 * How much longer each further voter waits the first time. When all start at once,
-	 * two that stand within the time of a vote take each other's votes, and a second
-	 * round costs a tenth of a second. The order lasts for the first timer only: voters
-	 * that were not reached then go on by chance.
+	 * The additional fraction that each further voter waits before its first election.
+	 * When all start at once, two candidates within the time of a vote split the vote,
+	 * and a second round takes a tenth of a second. The order applies to the first
+	 * timeout only: voters that were not reached by then use randomized timeouts.
 	 */
 	private static final double INITIAL_TIMEOUT_STEP_RATIO = 0.08;
 
 	/**
-	 * The number of shortest election timeouts without a leader after which a voter asks
+	 * The number of minimum election timeouts without a leader after which a voter asks
 	 * to join again. An election that the voters can win is over by then.
 	 */
 	private static final int LEADERLESS_TIMEOUT_FACTOR = 2;
@@ -54,10 +56,10 @@
 	private boolean leaderContacted;
 
 	/**
-	 * Make the timer of a replica that starts.
-	 * @param timeoutNanos the shortest election timeout
-	 * @param seed the seed of the timers' lengths
-	 * @param rank how many voters go before this replica in the order of identities
+	 * Create the election state of a replica that starts.
+	 * @param timeoutNanos the minimum election timeout in nanoseconds
+	 * @param seed the seed of the randomized timeouts
+	 * @param rank the number of voters with a lower identifier than this replica
 	 * @param now the time
 	 */
 	Election(long timeoutNanos, long seed, int rank, long now) {
@@ -83,9 +85,9 @@
 	}
 
 	/**
-	 * Return whether a leader was heard of within the shortest election timeout. While it
-	 * was, candidates are refused: a replica that was removed, or that cannot hear the
-	 * leader, would otherwise depose a leader that works.
+	 * Return whether a leader was in contact within the minimum election timeout. If so,
+	 * vote requests are refused: a replica that was removed, or that cannot reach the
+	 * leader, would otherwise depose a working leader.
 	 * @param now the time
 	 * @return whether it was
 	 */
@@ -94,12 +96,12 @@
 	}
 
 	/**
-	 * Return whether no leader has been heard of for several election timeouts, counted
+	 * Return whether no leader has been in contact for several election timeouts, counted
 	 * from the start of this replica if there was none. A voter in this state may have
 	 * been removed from the membership.
 	 * @param now the time
-	 * @return whether at least {@value #LEADERLESS_TIMEOUT_FACTOR} of the shortest
-	 * election timeouts have passed without a leader
+	 * @return whether at least {@value #LEADERLESS_TIMEOUT_FACTOR} minimum election
+	 * timeouts have passed without a leader
 	 */
 	boolean isLeaderless(long now) {
 		return now - this.lastLeaderContact >= LEADERLESS_TIMEOUT_FACTOR * this.timeoutNanos;
@@ -120,10 +122,10 @@
 	}
 
 	/**
-	 * Return whether the election is won. Only voters of the candidate's own membership
-	 * count.
-	 * @param membership the membership in force at the candidate
-	 * @return whether a quorum granted it
+	 * Return whether the candidate has won the election. Only the voters in its own
+	 * membership count.
+	 * @param membership the candidate's current membership
+	 * @return whether a quorum has granted its vote
 	 */
 	boolean isWon(Membership membership) {
 		return membership.isQuorum(this.votes);
--- a/core/src/main/java/org/acaciacourse/core/consensus/HardState.java
+++ b/core/src/main/java/org/acaciacourse/core/consensus/HardState.java
@@ -4,13 +4,13 @@
 import java.util.Optional;
 
 /**
- * What a replica must not forget: it is durable before any message that depends on it is
- * sent.
+ * The persistent state of a replica besides its log. It is made durable before any
+ * message that depends on it is sent.
  * <p>
  * Immutable and thread safe.
  *
- * @param term the latest term seen
- * @param votedFor who got this replica's vote in that term
+ * @param term the latest term that the replica has seen
+ * @param votedFor the candidate that received this replica's vote in that term
  */
 public record HardState(long term, Optional<ReplicaId> votedFor) {
 
--- a/core/src/main/java/org/acaciacourse/core/consensus/InMemoryLog.java
+++ b/core/src/main/java/org/acaciacourse/core/consensus/InMemoryLog.java
@@ -9,9 +9,9 @@
 
 /**
  * A replica's log in memory: the latest snapshot, the entries after it, and the
- * memberships that they hold. Invariants: indexes have no gaps; the membership in force
- * is the last one in the log, committed or not, and goes when its entry is truncated; the
- * durable index never exceeds the last index.
+ * memberships that they contain. Invariants: indexes have no gaps; the current membership
+ * is the last one in the log, committed or not, and is reverted when its entry is
+ * truncated; the durable index never exceeds the last index.
  * <p>
  * Not thread safe: belongs to one {@link Replica}.
  */
@@ -56,8 +56,9 @@
 
 	/**
 	 * Return the term of an entry.
-	 * @param index its index, from the snapshot's on
-	 * @return the term, 0 before the first entry, -1 if the log does not hold it
+	 * @param index its index, not before that of the snapshot
+	 * @return the term, 0 for index 0 if there is no snapshot, -1 if the log does not
+	 * contain the entry
 	 */
 	long term(long index) {
 		long snapshotIndex = snapshotIndex();
@@ -75,10 +76,10 @@
 	}
 
 	/**
-	 * Return entries for a message.
+	 * Return entries to send in one message.
 	 * @param from the index of the first one
-	 * @param maxBytes the bound on their payload; the first one may exceed it
-	 * @return the entries, none if there is none from that index on
+	 * @param maxBytes the maximum payload in bytes; the first entry may exceed it
+	 * @return the entries, empty if there is none from that index on
 	 */
 	List<LogEntry> slice(long from, int maxBytes) {
 		List<LogEntry> slice = new ArrayList<>();
@@ -95,10 +96,10 @@
 	}
 
 	/**
-	 * Work out where this log may still match a leader's that differs at an index, so
-	 * that the leader skips a whole term of entries that cannot match.
-	 * @param index where they differ
-	 * @param commitIndex the commit index, up to which logs match
+	 * Find the last index at which this log may match a leader's log that conflicts with
+	 * it at an index, so that the leader skips all conflicting entries of a term at once.
+	 * @param index the index of the conflict, or an index after the end of this log
+	 * @param commitIndex the commit index, up to which the logs match
 	 * @return the last index that may match
 	 */
 	long lastPossibleMatch(long index, long commitIndex) {
@@ -134,9 +135,9 @@
 	}
 
 	/**
-	 * Note that entries are durable. A late note for entries that were truncated since
-	 * has another term, or none, and is ignored.
-	 * @param index the last durable entry
+	 * Record that entries are durable. A late notification for entries that were
+	 * truncated since refers to another term, or to no entry, and is ignored.
+	 * @param index the index of the last durable entry
 	 * @param term its term
 	 */
 	void markDurable(long index, long term) {
@@ -170,9 +171,9 @@
 	}
 
 	/**
-	 * Return the membership after an entry, for a snapshot there.
+	 * Return the membership as of an entry.
 	 * @param index the index of the entry
-	 * @return the last membership up to it
+	 * @return the last membership up to that entry
 	 */
 	Membership membershipAt(long index) {
 		Map.Entry<Long, Membership> last = this.memberships.floorEntry(index);
--- a/core/src/main/java/org/acaciacourse/core/consensus/Leadership.java
+++ b/core/src/main/java/org/acaciacourse/core/consensus/Leadership.java
@@ -9,10 +9,10 @@
 import org.acaciacourse.core.consensus.ReplicaMessage.TimeoutNow;
 
 /**
- * What a replica holds while it leads one term: replication, proposals and reads that
- * wait, and a transfer of leadership. Invariants: entries of earlier terms are committed
+ * The state of a replica while it leads in one term: replication, pending proposals and
+ * reads, and a leadership transfer. Invariants: entries of earlier terms are committed
  * only together with one of this term (Ongaro and Ousterhout, 2014, section 5.4.2); at
- * most one membership change is not committed, and none is made before an entry of this
+ * most one membership change is uncommitted, and none is proposed before an entry of this
  * term is committed, so that any two quorums in use overlap.
  * <p>
  * Not thread safe: belongs to one {@link Replica}.
@@ -95,8 +95,8 @@
 	}
 
 	/**
-	 * Work out the commit index after a reply or a sync.
-	 * @return the highest index that is committed
+	 * Compute the commit index after a reply or a sync.
+	 * @return the highest index that can be committed
 	 */
 	long committableIndex() {
 		long index = this.replication.quorumIndex();
@@ -109,7 +109,7 @@
 	}
 
 	/**
-	 * Serve reads and send what there is room for, after the commit index is known.
+	 * Serve pending reads and send entries, after the commit index has been updated.
 	 * @param now the time
 	 */
 	void sendPending(long now) {
@@ -120,7 +120,8 @@
 
 	void tick(long now) {
 		if (this.transferTarget.isPresent() && now >= this.transferDeadline) {
-			// The successor did not take over; leading on is better than nobody leading.
+			// The transfer timed out. This leader accepts proposals again, as otherwise
+			// there would be no active leader.
 			this.transferTarget = Optional.empty();
 		}
 		this.replication.tick(this.commitIndex, now);
@@ -138,7 +139,8 @@
 	}
 
 	/**
-	 * Return whether this leader's own removal is committed, so that it must step down.
+	 * Return whether this leader's removal from the voters is committed, so that it must
+	 * step down.
 	 * @return whether it is
 	 */
 	boolean isRemoved() {
@@ -147,7 +149,8 @@
 	}
 
 	/**
-	 * Tell the others of the last commit and let the best of them stand at once.
+	 * Send the last commit index to the other members and ask the most up-to-date voter
+	 * to start an election at once.
 	 * @param now the time
 	 */
 	void transferAfterRemoval(long now) {
@@ -178,8 +181,8 @@
 
 	private void serveReads(long now) {
 		this.reads.confirmed(this.replication.confirmedRound(), this.actions);
-		// Until an entry of this term is committed, the commit index may lag behind what
-		// an earlier leader has acknowledged.
+		// Until an entry of this term is committed, the commit index may be lower than
+		// what an earlier leader has acknowledged.
 		if (this.commitIndex >= this.noopIndex && this.reads.needsRound()) {
 			this.reads.startRound(this.replication.sendHeartbeats(this.commitIndex, now), this.commitIndex);
 			this.reads.confirmed(this.replication.confirmedRound(), this.actions);
--- a/core/src/main/java/org/acaciacourse/core/consensus/LogEntry.java
+++ b/core/src/main/java/org/acaciacourse/core/consensus/LogEntry.java
@@ -3,14 +3,13 @@
 import java.util.Objects;
 
 /**
- * An entry of the replicated log. The payload belongs to the entry and is not changed by
- * anyone.
+ * An entry of the replicated log. The entry owns the payload, and nobody modifies it.
  * <p>
- * Immutable and thread safe as long as nobody writes to the payload.
+ * Immutable and thread safe as long as nobody modifies the payload.
  *
- * @param index its place, from 1
- * @param term the term of the leader that made it
- * @param kind what the payload holds
+ * @param index its position in the log, from 1
+ * @param term the term of the leader that created it
+ * @param kind what the payload contains
  * @param payload the encoded command or membership, empty for {@link Kind#NOOP}
  */
 public record LogEntry(long index, long term, Kind kind, byte[] payload) {
@@ -21,17 +20,20 @@
 	}
 
 	/**
-	 * What an entry holds.
+	 * The kind of an entry.
 	 */
 	public enum Kind {
 
-		/** Nothing; commits the entries of earlier terms. */
+		/**
+		 * An empty entry, which a new leader appends to commit the entries of earlier
+		 * terms.
+		 */
 		NOOP,
 
-		/** A command of the state machine. */
+		/** A command for the state machine. */
 		COMMAND,
 
-		/** A membership, in force as soon as it is in the log. */
+		/** A membership, which takes effect as soon as it is in the log. */
 		MEMBERSHIP
 
 	}
--- a/core/src/main/java/org/acaciacourse/core/consensus/Member.java
+++ b/core/src/main/java/org/acaciacourse/core/consensus/Member.java
@@ -3,14 +3,14 @@
 import java.util.Objects;
 
 /**
- * A replica as the replicated membership lists it.
+ * A replica as listed in the replicated membership.
  * <p>
  * Immutable and thread safe.
  *
- * @param id its identity
+ * @param id its identifier
  * @param vm the name of the VM it runs on
- * @param address host and port of its inner server
- * @param voter whether it counts for quorums; a learner only receives the log
+ * @param address host and port of its internal server
+ * @param voter whether it counts towards quorums; a learner only receives the log
  */
 public record Member(ReplicaId id, String vm, String address, boolean voter) {
 
@@ -20,8 +20,8 @@
 		Objects.requireNonNull(address, "address");
 	}
 
-	// By hand, as the generated methods are put together at their first use: some tens of
-	// milliseconds, which callers wait for after a start.
+	// Written out because the generated methods of a record are linked on first use. That
+	// takes tens of milliseconds, which clients would wait for after a start.
 	@Override
 	public boolean equals(Object other) {
 		return this == other || (other instanceof Member that && this.id.equals(that.id) && this.vm.equals(that.vm)
--- a/core/src/main/java/org/acaciacourse/core/consensus/Membership.java
+++ b/core/src/main/java/org/acaciacourse/core/consensus/Membership.java
@@ -10,11 +10,12 @@
 import java.util.stream.Collectors;
 
 /**
- * The members of the replicated log. It changes by one member at a time.
+ * The members of the replicated log. It changes by one member at a time, as in Raft's
+ * single-server membership changes.
  * <p>
  * Immutable and thread safe.
  *
- * @param members the members in order of their identities
+ * @param members the members, sorted by identifier
  */
 public record Membership(List<Member> members) {
 
@@ -24,7 +25,7 @@
 
 	/**
 	 * Find a member.
-	 * @param id its identity
+	 * @param id its identifier
 	 * @return the member, if it is listed
 	 */
 	public Optional<Member> member(ReplicaId id) {
@@ -37,7 +38,8 @@
 	}
 
 	/**
-	 * Return the identities that count for quorums.
+	 * Return the identifiers of the voters, which are the members that count towards
+	 * quorums.
 	 * @return the voters
 	 */
 	public Set<ReplicaId> voters() {
@@ -45,8 +47,8 @@
 	}
 
 	/**
-	 * Return whether a replica counts for quorums.
-	 * @param id its identity
+	 * Return whether a replica is a voter.
+	 * @param id its identifier
 	 * @return whether it is listed as a voter
 	 */
 	public boolean isVoter(ReplicaId id) {
@@ -59,7 +61,7 @@
 	}
 
 	/**
-	 * Return whether some replicas hold a majority of the voters.
+	 * Return whether a set of replicas contains a majority of the voters.
 	 * @param replicas the replicas
 	 * @return whether they are a quorum
 	 */
@@ -74,9 +76,9 @@
 	}
 
 	/**
-	 * Work out the highest value that a majority of the voters has reached.
+	 * Compute the highest value that a majority of the voters has reached.
 	 * @param valueOf the value of a voter
-	 * @return that value, 0 without voters
+	 * @return that value, 0 if there are no voters
 	 */
 	public long reachedByQuorum(ToLongFunction<ReplicaId> valueOf) {
 		long[] values = new long[this.members.size()];
@@ -92,11 +94,12 @@
 	}
 
 	/**
-	 * Return whether another membership is one safe step from this one: a learner more, a
-	 * member less, a learner promoted, a voter demoted or one address changed. Quorums
-	 * before and after such a step overlap.
+	 * Return whether another membership differs from this one by a single permitted
+	 * change: a learner is added, a member is removed, a learner is promoted, a voter is
+	 * demoted or an address is changed. The quorums before and after such a change
+	 * overlap.
 	 * @param next the other membership
-	 * @return whether it is one step away and has a voter
+	 * @return whether it differs by one such change and has a voter
 	 */
 	public boolean isSingleMemberChange(Membership next) {
 		List<Member> added = next.members.stream().filter((member) -> !this.members.contains(member)).toList();
@@ -111,7 +114,8 @@
 	}
 
 	/**
-	 * Return this membership with a member added, or replaced if its identity is listed.
+	 * Return this membership with a member added, or replaced if its identifier is
+	 * already listed.
 	 * @param member the member
 	 * @return the next membership
 	 */
@@ -123,15 +127,15 @@
 
 	/**
 	 * Return this membership without a member.
-	 * @param id its identity
+	 * @param id its identifier
 	 * @return the next membership
 	 */
 	public Membership without(ReplicaId id) {
 		return new Membership(this.members.stream().filter((member) -> !member.id().equals(id)).toList());
 	}
 
-	// By hand, as the generated methods are put together at their first use: some tens of
-	// milliseconds, which callers wait for after a start.
+	// Written out because the generated methods of a record are linked on first use. That
+	// takes tens of milliseconds, which clients would wait for after a start.
 	@Override
 	public boolean equals(Object other) {
 		return this == other || (other instanceof Membership that && this.members.equals(that.members));
--- a/core/src/main/java/org/acaciacourse/core/consensus/MembershipChange.java
+++ b/core/src/main/java/org/acaciacourse/core/consensus/MembershipChange.java
@@ -3,7 +3,7 @@
 import java.util.Objects;
 
 /**
- * The change of a single member between two successive memberships.
+ * The change of a single member between two consecutive memberships.
  * <p>
  * Immutable and thread safe.
  *
--- a/core/src/main/java/org/acaciacourse/core/consensus/MembershipCodec.java
+++ b/core/src/main/java/org/acaciacourse/core/consensus/MembershipCodec.java
@@ -10,8 +10,8 @@
 import java.util.List;
 
 /**
- * Encodes the payload of {@link LogEntry.Kind#MEMBERSHIP}, by the platform's data
- * streams. Both directions work on memory only.
+ * Encodes and decodes the payload of {@link LogEntry.Kind#MEMBERSHIP} entries in the
+ * format of {@link DataOutputStream}. Both directions work in memory only.
  * <p>
  * Immutable and thread safe.
  */
--- a/core/src/main/java/org/acaciacourse/core/consensus/MembershipManager.java
+++ b/core/src/main/java/org/acaciacourse/core/consensus/MembershipManager.java
@@ -10,36 +10,37 @@
 import java.util.function.ToLongFunction;
 
 /**
- * Decides the next membership change while this replica leads: a replica that is not in
- * the membership joins as a learner, and once it has caught up it replaces the previous
+ * Decides the next membership change while this replica leads. A replica that is not in
+ * the membership joins as a learner. Once it has caught up, it replaces the previous
  * voter of its VM, or a voter that has been out of contact for too long. A replica's
- * identity is tied to its disk, so that a replica which lost its disk, and with it its
+ * identifier is tied to its disk, so that a replica which lost its disk, and with it its
  * votes and acknowledged entries, is never mistaken for the previous one.
  * <p>
- * The steps: add the learner; wait until it holds a point that was committed after it
- * joined; remove the VM's old voter; promote the learner. The old voter goes before the
- * promotion: it is lost already, while a promotion first would make the quorum larger and
- * depend on the newcomer. Each step follows from the committed membership alone, so that
- * a new leader goes on where the last one stopped; only the point to catch up to is
- * chosen anew, and later.
+ * The steps are: add the learner; wait until its log contains an index that was committed
+ * after it was added; remove the VM's previous voter; promote the learner. The previous
+ * voter is removed before the promotion because it is lost already, while promoting first
+ * would enlarge the quorum and make it depend on the new replica. Each step follows from
+ * the committed membership alone, so that a new leader continues where the previous one
+ * stopped. Only the catch-up target is chosen again, at a later index.
  * <p>
- * Invariants: one change at a time; nothing is decided before the membership in force is
- * committed; a learner is promoted only after it held a point committed after it joined.
+ * Invariants: there is one change at a time; no change is proposed before the current
+ * membership is committed; a learner is promoted only after its log contains an index
+ * that was committed after it was added.
  * <p>
- * Not thread safe: called on the replica's thread. It keeps what one leadership needs and
- * is cleared by {@link #leadershipLost()}.
+ * Not thread safe: called on the replica's thread. The state belongs to one leadership
+ * and is cleared by {@link #leadershipLost()}.
  */
 public final class MembershipManager {
 
-	/** Five voters survive two failures; more only slow down commits. */
+	/** Five voters tolerate two failures; more voters only slow down commits. */
 	static final int MAX_VOTERS = 5;
 
 	static final int MAX_MEMBERS = 2 * MAX_VOTERS;
 
 	/**
-	 * After how long without contact a voter gives its place up to a replica of a VM that
-	 * is new. A process that was killed is back sooner. One that is only cut off loses
-	 * nothing but its place: it joins again.
+	 * The time without contact after which a voter is replaced by a replica of a new VM.
+	 * A killed process restarts in less time. A voter that is only partitioned loses
+	 * nothing but its membership, and joins again.
 	 */
 	static final long MAX_ABSENCE_NANOS = 2_000_000_000L;
 
@@ -52,11 +53,12 @@
 	private long lastObservedAt;
 
 	/**
-	 * Note a join request from a replica that has an empty disk, or that was removed from
-	 * the membership while it was out of contact. The replica repeats the request until a
-	 * leader replicates to it.
+	 * Record a join request from a replica that has an empty disk, or that was removed
+	 * from the membership while it was out of contact. The replica repeats the request
+	 * until a leader replicates to it.
 	 * @param member the replica
-	 * @return whether the request is noted; it is refused when too many wait
+	 * @return whether the request is recorded; it is rejected if too many requests are
+	 * pending
 	 */
 	public boolean join(Member member) {
 		if (this.joinRequests.size() >= MAX_MEMBERS && !this.joinRequests.containsKey(member.vm())) {
@@ -67,7 +69,7 @@
 	}
 
 	/**
-	 * Forget what only a leader may keep.
+	 * Discard the state of this leadership.
 	 */
 	public void leadershipLost() {
 		this.joinRequests.clear();
@@ -76,9 +78,9 @@
 	}
 
 	/**
-	 * Note which voters are in contact, before {@link #next} is asked.
-	 * @param current the membership in force
-	 * @param inContact whether a member answered lately
+	 * Record which voters are in contact. Called before {@link #next}.
+	 * @param current the current membership
+	 * @param inContact whether a member has replied recently
 	 * @param now the time in nanoseconds
 	 */
 	public void observe(Membership current, Predicate<ReplicaId> inContact, long now) {
@@ -92,9 +94,9 @@
 
 	/**
 	 * Return how long a voter has been out of contact.
-	 * @param id the identity of the voter
-	 * @return the duration up to the last {@link #observe}, or nothing if the replica was
-	 * in contact then or is not a voter
+	 * @param id the identifier of the voter
+	 * @return the duration up to the last {@link #observe} call, or empty if the replica
+	 * was in contact then or is not a voter
 	 */
 	public Optional<Duration> absence(ReplicaId id) {
 		return Optional.ofNullable(this.absentSince.get(id))
@@ -103,14 +105,15 @@
 
 	/**
 	 * Decide the next change. The caller proposes it by
-	 * {@link ReplicatedLog#changeMembership} and asks again later in any case.
-	 * @param current the membership in force
+	 * {@link ReplicatedLog#changeMembership} and calls this method again later in any
+	 * case.
+	 * @param current the current membership
 	 * @param committed whether it is committed
 	 * @param commitIndex the leader's commit index
-	 * @param matchIndex how far each member's log is known to match
-	 * @param inContact whether a member answered lately; a voter that does has its disk,
-	 * whoever else uses the name of its VM
-	 * @return the next membership, or nothing if nothing is to be changed now
+	 * @param matchIndex the highest index up to which each member's log is known to match
+	 * @param inContact whether a member has replied recently; a voter that has replied
+	 * still has its disk, even if another process uses the name of its VM
+	 * @return the next membership, or empty if no change is due
 	 */
 	public Optional<Membership> next(Membership current, boolean committed, long commitIndex,
 			ToLongFunction<ReplicaId> matchIndex, Predicate<ReplicaId> inContact) {
@@ -143,8 +146,9 @@
 		return Optional.empty();
 	}
 
-	// A VM that was replaced for good by one with another name. Its voter counts for the
-	// quorum until it is removed, so that two more losses would stop the log.
+	// A voter whose VM was permanently replaced by one with another name. It counts
+	// towards the quorum until it is removed, so that two more failures would stop the
+	// log.
 	private Optional<ReplicaId> longestAbsentVoter(Membership current) {
 		return current.members()
 			.stream()
@@ -156,7 +160,8 @@
 	}
 
 	private boolean isCaughtUp(Member learner, long commitIndex, ToLongFunction<ReplicaId> matchIndex) {
-		// The membership that lists the learner is committed, so this point is after it.
+		// The membership that lists the learner is committed, so this index was committed
+		// after the learner was added.
 		long target = this.catchUpTargets.computeIfAbsent(learner.id(), (id) -> commitIndex);
 		return matchIndex.applyAsLong(learner.id()) >= target;
 	}
@@ -166,13 +171,14 @@
 			return Optional.empty();
 		}
 		Member member = this.joinRequests.values().iterator().next();
-		// A learner of the same VM that lost its disk again will never catch up.
+		// A learner of the same VM that has lost its disk again will never catch up.
 		Optional<Member> previous = current.members()
 			.stream()
 			.filter((other) -> !other.voter() && other.vm().equals(member.vm()))
 			.findFirst();
 		if (previous.isPresent() && inContact.test(previous.get().id())) {
-			// Two processes with the name of one VM would replace each other for ever.
+			// Two processes configured with the name of the same VM would replace each
+			// other endlessly.
 			this.joinRequests.remove(member.vm());
 			return Optional.empty();
 		}
@@ -186,13 +192,13 @@
 	}
 
 	/**
-	 * Return whether a replica has the place that it will keep: that of a voter, or that
-	 * of a spare learner while the voters of other VMs fill all places. A learner that is
-	 * to be promoted is not settled, and until then its VM counts for no quorum: the loss
-	 * of another voter would stop the log.
-	 * @param current the membership in force
+	 * Return whether a replica has its final role: it is a voter, or a spare learner
+	 * while other VMs hold all voter places. A learner that is still to be promoted does
+	 * not have its final role. Its VM counts towards no quorum until the promotion, and
+	 * the loss of another voter would stop the log.
+	 * @param current the current membership
 	 * @param id the replica
-	 * @return whether it is listed and no step of this class is due for it
+	 * @return whether it is listed and this class has no further step for it
 	 */
 	public static boolean isSettled(Membership current, ReplicaId id) {
 		Optional<Member> member = current.member(id);
--- a/core/src/main/java/org/acaciacourse/core/consensus/PendingReads.java
+++ b/core/src/main/java/org/acaciacourse/core/consensus/PendingReads.java
@@ -6,11 +6,12 @@
 import java.util.List;
 
 /**
- * Linearizable reads by read index (Ongaro, "Consensus: Bridging Theory and Practice",
- * 2014, section 6.4). A read is served at the commit index at which a heartbeat round
- * begins, once a quorum has answered that round: no other leader can have committed
- * anything before the read began. It depends on no clock. Invariant: one round runs for
- * all the reads that came before it; later ones wait for the next.
+ * The pending linearizable reads, by the ReadIndex algorithm (Ongaro, "Consensus:
+ * Bridging Theory and Practice", 2014, section 6.4). A read is served at the commit index
+ * as of the start of a heartbeat round, once a quorum has confirmed that round: no other
+ * leader can have committed anything before the read began. The algorithm does not depend
+ * on clocks. Invariant: one round confirms all reads that were pending when it started;
+ * later reads wait for the next round.
  * <p>
  * Not thread safe: belongs to one {@link Leadership}.
  */
--- a/core/src/main/java/org/acaciacourse/core/consensus/Progress.java
+++ b/core/src/main/java/org/acaciacourse/core/consensus/Progress.java
@@ -4,16 +4,19 @@
 import java.util.Deque;
 
 /**
- * What the leader knows of one follower, with the modes of the Raft implementation in
- * etcd: probe until the logs match, then replicate with several messages in flight, or
- * wait for a snapshot. Invariants: the match index never falls within a term; the bytes
- * in flight are those sent after the match index.
+ * The replication state of one follower as seen by the leader, with the modes of the Raft
+ * implementation in etcd: probe until the logs match, then replicate with several
+ * messages in flight, or wait for a snapshot. Invariants: the match index never decreases
+ * within a term; the bytes in flight are those sent after the match index.
  * <p>
  * Not thread safe: belongs to one {@link Replication}.
  */
 final class Progress {
 
-	/** A snapshot is large, and its receiver syncs it before it answers. */
+	/**
+	 * The timeout of a snapshot as a multiple of that of an append. A snapshot is large,
+	 * and its receiver syncs it before it replies.
+	 */
 	private static final int SNAPSHOT_TIMEOUT_FACTOR = 8;
 
 	private final Deque<Batch> inFlight = new ArrayDeque<>();
@@ -62,7 +65,7 @@
 
 	/**
 	 * Return whether more entries may be sent now.
-	 * @param maxBytes the bound on the bytes in flight
+	 * @param maxBytes the maximum number of bytes in flight
 	 * @return whether there is room
 	 */
 	boolean canSendEntries(int maxBytes) {
@@ -96,9 +99,9 @@
 	}
 
 	/**
-	 * Note a reply of this term: the follower still took this replica as its leader after
-	 * the round began.
-	 * @param round the round that it repeats
+	 * Record a reply of this term. It shows that the follower accepted this leader after
+	 * the start of the round.
+	 * @param round the heartbeat round repeated in the reply
 	 * @param now the time
 	 */
 	void recordContact(long round, long now) {
@@ -121,7 +124,8 @@
 
 	void rejected(long hint) {
 		if (hint < this.matchIndex || this.mode == Mode.SNAPSHOT) {
-			// An old reply that was overtaken; this follower's log matches further.
+			// A delayed reply: this follower's log is known to match further, or a
+			// snapshot is being sent.
 			return;
 		}
 		long previous = this.nextIndex - 1;
@@ -129,9 +133,10 @@
 	}
 
 	/**
-	 * Send again what was not acknowledged in time: the messages or their replies are
-	 * lost, and without this the follower would stay behind for good.
-	 * @param timeout the time after which a message counts as lost
+	 * Return to probing if messages were not acknowledged in time, so that their entries
+	 * are sent again. The messages or their replies are lost, and without a retry the
+	 * follower would never catch up.
+	 * @param timeout the time in nanoseconds after which a message counts as lost
 	 * @param now the time
 	 */
 	void checkTimeout(long timeout, long now) {
@@ -157,22 +162,22 @@
 	}
 
 	/**
-	 * How entries are sent to a follower.
+	 * The replication mode of a follower.
 	 */
 	enum Mode {
 
-		/** One message at a time, until it is known where the logs match. */
+		/** One message at a time, until the matching index is known. */
 		PROBE,
 
 		/** Several messages in flight. */
 		REPLICATE,
 
-		/** None until the snapshot is taken in. */
+		/** No entries until the snapshot is acknowledged. */
 		SNAPSHOT
 
 	}
 
-	/** A message in flight. */
+	/** An append request in flight. */
 	private record Batch(long lastIndex, long bytes) {
 	}
 
--- a/core/src/main/java/org/acaciacourse/core/consensus/RecoveredLog.java
+++ b/core/src/main/java/org/acaciacourse/core/consensus/RecoveredLog.java
@@ -5,14 +5,14 @@
 import java.util.Optional;
 
 /**
- * What a replica finds in its data folder when it starts; all of it is durable.
- * Invariant: the entries follow the snapshot without gaps.
+ * The content of a replica's data folder when it starts. All of it is durable. Invariant:
+ * the entries follow the snapshot without gaps.
  * <p>
  * Immutable and thread safe.
  *
- * @param hardState the term and the vote
- * @param snapshot the latest snapshot, if there is one
- * @param entries the entries after it
+ * @param hardState the current term and vote
+ * @param snapshot the latest snapshot, if any
+ * @param entries the entries after the snapshot
  */
 public record RecoveredLog(HardState hardState, Optional<Snapshot> snapshot, List<LogEntry> entries) {
 
@@ -30,20 +30,20 @@
 	}
 
 	/**
-	 * Return what a new data folder holds: the replica waits until a leader sends it the
-	 * log.
-	 * @return nothing
+	 * Return the content of a new data folder. A replica that starts from it waits until
+	 * a leader sends it the log.
+	 * @return an empty log
 	 */
 	public static RecoveredLog empty() {
 		return new RecoveredLog(new HardState(0, Optional.empty()), Optional.empty(), List.of());
 	}
 
 	/**
-	 * Return what the first replica of a new system starts from: a log in which it is the
-	 * only voter. The caller makes it durable first, and only once in the life of the
-	 * system: two such logs are two systems.
+	 * Return the initial log of the first replica of a new system, in which that replica
+	 * is the only voter. The caller makes it durable first, and does so only once in the
+	 * lifetime of the system: two such logs are two separate systems.
 	 * @param first the replica
-	 * @return a log with one membership
+	 * @return a log with a single membership entry
 	 */
 	public static RecoveredLog bootstrap(Member first) {
 		byte[] payload = MembershipCodec.encode(new Membership(List.of(first)));
--- a/core/src/main/java/org/acaciacourse/core/consensus/Replica.java
+++ b/core/src/main/java/org/acaciacourse/core/consensus/Replica.java
@@ -14,17 +14,19 @@
 import org.acaciacourse.core.consensus.ReplicaStatus.Role;
 
 /**
- * A replica of the log by Raft (Ongaro and Ousterhout, "In Search of an Understandable
- * Consensus Algorithm", 2014) with pre-vote, check-quorum, leadership transfer, learners
- * and single-member changes (Ongaro, "Consensus: Bridging Theory and Practice", 2014).
- * Invariants: the term never falls; a replica votes once a term; it never truncates an
- * entry that it knows to be committed; entries are applied once each and in order.
+ * A replica of the log that implements Raft (Ongaro and Ousterhout, "In Search of an
+ * Understandable Consensus Algorithm", 2014) with pre-vote, check-quorum, leadership
+ * transfer, learners and single-server membership changes (Ongaro, "Consensus: Bridging
+ * Theory and Practice", 2014). Invariants: the term never decreases; a replica votes at
+ * most once per term; it never truncates an entry that it knows to be committed; entries
+ * are applied exactly once and in order.
  * <p>
- * A replica answers a request for a vote whatever its own membership says, and a
- * candidate counts only the voters of its own membership. A voter that has not learned of
- * its promotion yet must not block an election, and a vote of a non-voter counts nowhere.
- * A removed replica cannot disturb: it stands only with a pre-vote, which those that hear
- * a leader refuse. A replica whose membership does not list it as a voter never stands.
+ * A replica answers vote requests regardless of its own membership, and a candidate
+ * counts only the voters in its own membership. A voter that has not learned of its
+ * promotion yet must not block an election, and the vote of a non-voter is never counted.
+ * A removed replica cannot disrupt the others: it starts an election only after a
+ * pre-vote, which replicas in contact with a leader refuse. A replica that is not a voter
+ * in its own membership never starts an election.
  * <p>
  * Not thread safe: one thread calls it.
  */
@@ -55,13 +57,13 @@
 	private ReplicaStatus lastReported;
 
 	/**
-	 * Start a replica.
-	 * @param self its identity
+	 * Create a replica.
+	 * @param self its identifier
 	 * @param vm the name of the VM it runs on
-	 * @param recovered what its data folder holds
-	 * @param timing times and bounds
-	 * @param seed the seed of its election timer
-	 * @param actions carries out what it wants done
+	 * @param recovered the content of its data folder
+	 * @param timing the timeouts and size limits
+	 * @param seed the seed of its randomized election timeouts
+	 * @param actions carries out the actions that it requests
 	 * @param now the time
 	 */
 	public Replica(ReplicaId self, String vm, RecoveredLog recovered, ReplicaTiming timing, long seed,
@@ -147,7 +149,8 @@
 	}
 
 	/**
-	 * Return the membership after a committed entry, which a snapshot there carries.
+	 * Return the membership as of a committed entry, to be stored in a snapshot at that
+	 * entry.
 	 * @param index the index of the entry, not before the latest snapshot
 	 * @return the membership
 	 */
@@ -156,8 +159,9 @@
 	}
 
 	/**
-	 * Return whether the membership in force is committed, so that it may change again.
-	 * @return whether no change is under way
+	 * Return whether the current membership is committed, so that another change may be
+	 * proposed.
+	 * @return whether no change is in progress
 	 */
 	public boolean isMembershipCommitted() {
 		return this.log.membershipIndex() <= this.commitIndex;
@@ -180,10 +184,10 @@
 	}
 
 	/**
-	 * Return whether a member answered this leader within an election timeout.
+	 * Return whether a member has replied to this leader within an election timeout.
 	 * @param id the member
 	 * @param now the time
-	 * @return whether it did; of itself a leader always knows
+	 * @return whether it has; always true for the leader itself
 	 */
 	public boolean isInContact(ReplicaId id, long now) {
 		return this.leadership.map((leading) -> leading.isInContact(id, now)).orElse(false);
@@ -191,8 +195,8 @@
 
 	/**
 	 * Return the voters that granted this replica's current vote or pre-vote request.
-	 * @return their identities, including its own, or nothing if this replica is neither
-	 * a candidate nor a pre-candidate
+	 * @return their identifiers, including its own, or empty if this replica is neither a
+	 * candidate nor a pre-candidate
 	 */
 	public Optional<Set<ReplicaId>> grantingVoters() {
 		boolean candidate = this.role == Role.PRE_CANDIDATE || this.role == Role.CANDIDATE;
@@ -290,7 +294,8 @@
 			send(request.from(), new AppendReply(this.self, term(), false, hint, request.round()));
 			return;
 		}
-		// What lies before the snapshot is committed and so matches every leader's log.
+		// The entries covered by the snapshot are committed, so they match every leader's
+		// log.
 		List<LogEntry> entries = request.entries().stream().filter((entry) -> entry.index() > snapshotIndex).toList();
 		long matchIndex = Math.max(snapshotIndex, last);
 		appendMissing(entries);
@@ -324,8 +329,9 @@
 		}
 		followLeader(request.from(), now);
 		Snapshot snapshot = request.snapshot();
-		// Entries after the snapshot may be acknowledged and count for a quorum: a late
-		// snapshot must not drop them, or a committed entry could be lost.
+		// Entries after the snapshot may have been acknowledged and count towards a
+		// quorum. A delayed snapshot must not discard them, or a committed entry could be
+		// lost.
 		boolean alreadyInLog = snapshot.index() <= this.commitIndex
 				|| this.log.term(snapshot.index()) == snapshot.term();
 		if (!alreadyInLog) {
@@ -443,7 +449,7 @@
 		}
 	}
 
-	// How many voters go before this one.
+	// The number of voters with a lower identifier.
 	private int voterRank() {
 		return (int) membership().voters().stream().filter((id) -> id.compareTo(this.self) < 0).count();
 	}
--- a/core/src/main/java/org/acaciacourse/core/consensus/ReplicaActions.java
+++ b/core/src/main/java/org/acaciacourse/core/consensus/ReplicaActions.java
@@ -3,11 +3,13 @@
 import java.util.List;
 
 /**
- * What a replica wants done. The calls of one event are carried out in order; a message
- * may leave only after all that was asked to be persisted before it is durable. A caller
- * may gather several events, sync once, then send.
+ * The actions that a replica requests. The calls for one event are carried out in order.
+ * A message may be sent only after everything that was to be persisted before it is
+ * durable. An implementation may collect the calls of several events, sync once, and then
+ * send.
  * <p>
- * Implementations are called on the replica's thread and must not call back into it.
+ * Implementations are called on the replica's thread and must not call back into the
+ * replica.
  */
 public interface ReplicaActions {
 
@@ -18,49 +20,51 @@
 	void persist(HardState state);
 
 	/**
-	 * Persist entries. Entries that the log holds from the first one's index on are
-	 * dropped before.
+	 * Persist entries, after removing all entries from the index of the first one on.
 	 * @param entries the entries, at least one, without gaps
 	 */
 	void append(List<LogEntry> entries);
 
 	/**
-	 * Persist a snapshot that was received, drop the whole log and put the state machine
-	 * into the state that the snapshot holds.
+	 * Persist a snapshot received from a leader, discard the whole log and restore the
+	 * state machine from the snapshot.
 	 * @param snapshot the snapshot
 	 */
 	void install(Snapshot snapshot);
 
 	/**
-	 * Send a message to another replica; it may be lost.
-	 * @param to the receiver; its address is empty if it answers a sender that this
-	 * replica's membership does not list (yet), and is then the address that the sender's
-	 * last message came with
+	 * Send a message to another replica. It may be lost.
+	 * @param to the receiver; its address is empty if the message replies to a sender
+	 * that is not (yet) in this replica's membership, and the reply then goes to the
+	 * address that came with the sender's last message
 	 * @param message the message
 	 */
 	void send(Member to, ReplicaMessage message);
 
 	/**
-	 * Apply a committed entry to the state machine. Indexes come without gaps.
+	 * Apply a committed entry to the state machine. Entries are applied in order and
+	 * without gaps.
 	 * @param entry the entry
 	 */
 	void apply(LogEntry entry);
 
 	/**
-	 * A linearizable read may be served once the entry at the index is applied.
-	 * @param readId the number that the read was asked with
-	 * @param index the index
+	 * Report that a linearizable read may be served once the entry at an index is
+	 * applied.
+	 * @param readId the identifier of the read
+	 * @param index the index of that entry
 	 */
 	void readReady(long readId, long index);
 
 	/**
-	 * A linearizable read or a proposal can't be served here, or its outcome is unknown.
-	 * @param id the number that it was asked with
+	 * Report that a read or a proposal can't be served here, or that the outcome of a
+	 * proposal is unknown.
+	 * @param id the identifier of the read or proposal
 	 */
 	void failed(long id);
 
 	/**
-	 * The role or the known leader changed.
+	 * Report that the role, the term or the known leader has changed.
 	 * @param status the status after the change
 	 */
 	void statusChanged(ReplicaStatus status);
--- a/core/src/main/java/org/acaciacourse/core/consensus/ReplicaId.java
+++ b/core/src/main/java/org/acaciacourse/core/consensus/ReplicaId.java
@@ -1,8 +1,9 @@
 package org.acaciacourse.core.consensus;
 
 /**
- * The identity of a replica. It is made when a data folder is created and lies in it, so
- * that a replica that lost its disk is another replica and cannot vote twice.
+ * The unique identifier of a replica. It is generated when a data folder is created and
+ * stored in that folder, so that a replica that lost its disk gets another identifier and
+ * cannot vote twice in a term.
  * <p>
  * Immutable and thread safe.
  *
@@ -21,8 +22,8 @@
 		return Long.compare(this.value, other.value);
 	}
 
-	// By hand, as the generated methods are put together at their first use: some tens of
-	// milliseconds, which callers wait for after a start.
+	// Written out because the generated methods of a record are linked on first use. That
+	// takes tens of milliseconds, which clients would wait for after a start.
 	@Override
 	public boolean equals(Object other) {
 		return this == other || (other instanceof ReplicaId that && this.value == that.value);
--- a/core/src/main/java/org/acaciacourse/core/consensus/ReplicaMessage.java
+++ b/core/src/main/java/org/acaciacourse/core/consensus/ReplicaMessage.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /**
- * The messages between replicas. Each may be lost, delayed, repeated or overtaken.
+ * The messages between replicas. Each may be lost, delayed, duplicated or reordered.
  * <p>
  * Immutable and thread safe.
  */
@@ -11,12 +11,13 @@
 
 	/**
 	 * Return the sender.
-	 * @return the identity of the sender
+	 * @return the identifier of the sender
 	 */
 	ReplicaId from();
 
 	/**
-	 * Return the sender's term; for a pre-vote the term it would take.
+	 * Return the sender's term, or for a pre-vote the term of the election that it would
+	 * start.
 	 * @return the term
 	 */
 	long term();
@@ -25,39 +26,41 @@
 	 * A request for a vote.
 	 *
 	 * @param from the candidate
-	 * @param term the term, for a pre-vote the one it would take
-	 * @param lastIndex the index of its last entry
-	 * @param lastTerm the term of its last entry
-	 * @param preVote whether it only asks whether it would be elected
-	 * @param leadershipTransfer whether the leader asked it to stand, which overrides the
-	 * check for a live leader
+	 * @param term the candidate's term, for a pre-vote the term of the election that it
+	 * would start
+	 * @param lastIndex the index of the candidate's last log entry
+	 * @param lastTerm the term of the candidate's last log entry
+	 * @param preVote whether this is a pre-vote, which only asks whether the candidate
+	 * would win an election
+	 * @param leadershipTransfer whether the leader asked the candidate to start the
+	 * election, which overrides the check for a live leader
 	 */
 	record VoteRequest(ReplicaId from, long term, long lastIndex, long lastTerm, boolean preVote,
 			boolean leadershipTransfer) implements ReplicaMessage {
 	}
 
 	/**
-	 * An answer to a request for a vote.
+	 * A reply to a vote request.
 	 *
 	 * @param from the voter
-	 * @param term the voter's term, for a granted pre-vote the term that was asked for
-	 * @param preVote whether it answers a pre-vote
-	 * @param granted whether the vote is given
+	 * @param term the voter's term, for a granted pre-vote the term of the request
+	 * @param preVote whether it replies to a pre-vote
+	 * @param granted whether the vote is granted
 	 */
 	record VoteReply(ReplicaId from, long term, boolean preVote, boolean granted) implements ReplicaMessage {
 	}
 
 	/**
-	 * Entries from the leader; without entries a heartbeat.
+	 * A request to append entries, or a heartbeat if it has no entries.
 	 *
 	 * @param from the leader
 	 * @param term its term
-	 * @param previousIndex the index before the first entry
-	 * @param previousTerm the term of the entry there
+	 * @param previousIndex the index of the entry before the first one
+	 * @param previousTerm the term of that entry
 	 * @param entries the entries
 	 * @param commitIndex the leader's commit index
-	 * @param round the heartbeat round, which a reply repeats: confirms leadership for
-	 * reads
+	 * @param round the heartbeat round, which the reply repeats to confirm leadership for
+	 * linearizable reads
 	 */
 	record AppendRequest(ReplicaId from, long term, long previousIndex, long previousTerm, List<LogEntry> entries,
 			long commitIndex, long round) implements ReplicaMessage {
@@ -69,13 +72,13 @@
 	}
 
 	/**
-	 * An answer to entries.
+	 * A reply to an append or snapshot request.
 	 *
 	 * @param from the follower
 	 * @param term its term
 	 * @param success whether the entry before the first one matched
-	 * @param matchIndex the last entry known to match and to be durable, on failure a
-	 * hint where the logs may still match
+	 * @param matchIndex the index of the last entry known to match and to be durable, on
+	 * failure a hint at the last index that may match
 	 * @param round the round of the request
 	 */
 	record AppendReply(ReplicaId from, long term, boolean success, long matchIndex,
@@ -83,7 +86,7 @@
 	}
 
 	/**
-	 * A snapshot for a follower that is behind the leader's log.
+	 * A snapshot for a follower that lacks entries which the leader no longer has.
 	 *
 	 * @param from the leader
 	 * @param term its term
@@ -94,7 +97,7 @@
 	}
 
 	/**
-	 * The leader asks a follower that has caught up to stand for election at once.
+	 * A request from the leader that an up-to-date follower start an election at once.
 	 *
 	 * @param from the leader
 	 * @param term its term
--- a/core/src/main/java/org/acaciacourse/core/consensus/ReplicaStatus.java
+++ b/core/src/main/java/org/acaciacourse/core/consensus/ReplicaStatus.java
@@ -4,14 +4,14 @@
 import java.util.Optional;
 
 /**
- * What a replica knows of itself and the leader.
+ * The state of a replica and what it knows of the leader.
  * <p>
  * Immutable and thread safe.
  *
  * @param role its role
  * @param term its term
  * @param leader the leader of the term, if known
- * @param commitIndex the last entry known to be committed
+ * @param commitIndex the index of the last entry known to be committed
  */
 public record ReplicaStatus(Role role, long term, Optional<Member> leader, long commitIndex) {
 
@@ -25,25 +25,25 @@
 	 */
 	public enum Role {
 
-		/** Receives the log but does not count for quorums. */
+		/** Receives the log but does not count towards quorums. */
 		LEARNER,
 
-		/** Follows a leader, or waits for one. */
+		/** Follows a leader, or waits for one to be elected. */
 		FOLLOWER,
 
-		/** Asks whether it would be elected, without a new term. */
+		/** Requests pre-votes, without incrementing the term. */
 		PRE_CANDIDATE,
 
-		/** Asks for votes. */
+		/** Requests votes. */
 		CANDIDATE,
 
-		/** Appends and commits entries. */
+		/** Appends entries, replicates them and commits them. */
 		LEADER
 
 	}
 
-	// By hand, as the generated methods are put together at their first use: some tens of
-	// milliseconds, which callers wait for after a start.
+	// Written out because the generated methods of a record are linked on first use. That
+	// takes tens of milliseconds, which clients would wait for after a start.
 	@Override
 	public boolean equals(Object other) {
 		return this == other || (other instanceof ReplicaStatus that && this.role == that.role && this.term == that.term
--- a/core/src/main/java/org/acaciacourse/core/consensus/ReplicaTiming.java
+++ b/core/src/main/java/org/acaciacourse/core/consensus/ReplicaTiming.java
@@ -3,16 +3,18 @@
 import java.time.Duration;
 
 /**
- * Times and bounds of a replica. Invariant: several heartbeats fit into an election
- * timeout, so that a single lost one does not start an election.
+ * Timeouts and size limits of a replica. Invariant: several heartbeats fit into an
+ * election timeout, so that a single lost heartbeat does not start an election.
  * <p>
  * Immutable and thread safe.
  *
- * @param heartbeatNanos the time between heartbeats of a leader
- * @param electionTimeoutNanos the shortest time without a leader before an election; each
- * replica draws from this to twice this
- * @param maxBatchBytes the payload of a message, unless a single entry is larger
- * @param maxInFlightBytes the payload sent to a follower and not acknowledged
+ * @param heartbeatNanos the interval between heartbeats of a leader, in nanoseconds
+ * @param electionTimeoutNanos the minimum election timeout in nanoseconds; each replica
+ * draws its timeout at random between this and twice this
+ * @param maxBatchBytes the maximum payload of a message in bytes, exceeded only by a
+ * single larger entry
+ * @param maxInFlightBytes the maximum payload in bytes that is sent to a follower and not
+ * acknowledged
  */
 public record ReplicaTiming(long heartbeatNanos, long electionTimeoutNanos, int maxBatchBytes, int maxInFlightBytes) {
 
@@ -26,8 +28,8 @@
 	}
 
 	/**
-	 * Return times for data centres that are about a millisecond apart and disks that
-	 * sync within some tens of milliseconds.
+	 * Return settings for data centres about a millisecond apart and disks that sync
+	 * within some tens of milliseconds.
 	 * @return the defaults
 	 */
 	public static ReplicaTiming defaults() {
--- a/core/src/main/java/org/acaciacourse/core/consensus/ReplicatedLog.java
+++ b/core/src/main/java/org/acaciacourse/core/consensus/ReplicatedLog.java
@@ -3,32 +3,33 @@
 import org.acaciacourse.core.consensus.ReplicaStatus.Role;
 
 /**
- * One replica of the replicated log. Events and the time come in as calls, actions go out
- * through {@link ReplicaActions}; there is no I/O, thread or clock inside. Times are
- * nanoseconds on this VM's monotonic clock; the clocks of replicas need not agree, only
- * run at nearly the same speed.
+ * One replica of the replicated log. Events and the current time are passed in as calls,
+ * and actions are requested through {@link ReplicaActions}; the implementation does no
+ * I/O, starts no threads and reads no clock. Times are nanoseconds on this VM's monotonic
+ * clock. The clocks of the replicas need not agree, they only have to run at nearly the
+ * same rate.
  * <p>
  * Not thread safe: one thread calls it.
  */
 public interface ReplicatedLog {
 
 	/**
-	 * Take a message from another replica.
+	 * Process a message from another replica.
 	 * @param message the message
 	 * @param now the time
 	 */
 	void receive(ReplicaMessage message, long now);
 
 	/**
-	 * Let time pass: elections, heartbeats and the check for a quorum. Called every few
-	 * milliseconds.
+	 * Advance the time: runs election timeouts, heartbeats and the check for contact with
+	 * a quorum. Called every few milliseconds.
 	 * @param now the time
 	 */
 	void tick(long now);
 
 	/**
-	 * What was asked to be appended up to an index, in the term given, is durable here.
-	 * @param index the last durable entry
+	 * Report that the log is durable on this replica up to an entry of the given term.
+	 * @param index the index of the last durable entry
 	 * @param term the term of that entry
 	 * @param now the time
 	 */
@@ -36,9 +37,9 @@
 
 	/**
 	 * Propose a command. {@link ReplicaActions#apply} of an entry with the returned index
-	 * and this replica's term tells that it is committed; {@link ReplicaActions#failed}
-	 * tells that it is lost or its outcome unknown.
-	 * @param proposalId the caller's number for it
+	 * and this replica's term means that it is committed. {@link ReplicaActions#failed}
+	 * means that it is lost or that its outcome is unknown.
+	 * @param proposalId an identifier chosen by the caller
 	 * @param command the encoded command
 	 * @param now the time
 	 * @return the index it will have, or -1 if this replica is not the leader
@@ -46,8 +47,8 @@
 	long propose(long proposalId, byte[] command, long now);
 
 	/**
-	 * Propose a membership that differs in one member from the one in force.
-	 * @param proposalId the caller's number for it
+	 * Propose a membership that differs from the current one in one member.
+	 * @param proposalId an identifier chosen by the caller
 	 * @param next the next membership
 	 * @param now the time
 	 * @return the index it will have, or -1 if it can't be proposed now
@@ -55,22 +56,22 @@
 	long changeMembership(long proposalId, Membership next, long now);
 
 	/**
-	 * Ask for a linearizable read; {@link ReplicaActions#readReady} or
+	 * Request a linearizable read. {@link ReplicaActions#readReady} or
 	 * {@link ReplicaActions#failed} follows.
-	 * @param readId the caller's number for it
+	 * @param readId an identifier chosen by the caller
 	 * @param now the time
 	 */
 	void read(long readId, long now);
 
 	/**
-	 * Hand leadership over to the voter that has caught up furthest, before a planned
-	 * stop.
+	 * Transfer leadership to the most up-to-date voter, before a planned stop.
 	 * @param now the time
 	 */
 	void transferLeadership(long now);
 
 	/**
-	 * A snapshot that the state machine made is durable: entries up to it may be dropped.
+	 * Report that a snapshot made by the state machine is durable: the entries that it
+	 * covers may be discarded.
 	 * @param snapshot the snapshot
 	 */
 	void compacted(Snapshot snapshot);
@@ -82,15 +83,15 @@
 	ReplicaStatus status();
 
 	/**
-	 * Return the membership in force, committed or not.
+	 * Return the current membership, which is the last one in the log, committed or not.
 	 * @return the membership
 	 */
 	Membership membership();
 
 	/**
-	 * Return how far a member's log is known to match, as the leader sees it.
+	 * Return the highest index up to which a member's log is known to match the leader's.
 	 * @param id the member
-	 * @return the index, 0 if nothing is known or this replica is not the leader
+	 * @return the index, 0 if it is unknown or this replica is not the leader
 	 */
 	long matchIndex(ReplicaId id);
 
--- a/core/src/main/java/org/acaciacourse/core/consensus/Replication.java
+++ b/core/src/main/java/org/acaciacourse/core/consensus/Replication.java
@@ -12,9 +12,10 @@
 import org.acaciacourse.core.consensus.ReplicaMessage.SnapshotRequest;
 
 /**
- * The leader's side of replication in one term: what to send to whom, what is committed,
- * and whether a quorum still answers. Invariant: an entry counts for a replica only once
- * it is durable there, for the leader itself too.
+ * The leader's side of log replication in one term: which messages to send to each
+ * follower, which entries are committed, and whether a quorum is still in contact.
+ * Invariant: an entry counts for a replica, including the leader itself, only once it is
+ * durable there.
  * <p>
  * Not thread safe: belongs to one {@link Replica}.
  */
@@ -47,7 +48,7 @@
 	}
 
 	/**
-	 * Follow a change of the membership in force.
+	 * Add and remove followers according to the current membership.
 	 * @param now the time
 	 */
 	void updateFollowers(long now) {
@@ -61,7 +62,7 @@
 	}
 
 	/**
-	 * Send entries that there is room for.
+	 * Send entries to all followers, as far as the limit of bytes in flight permits.
 	 * @param commitIndex the commit index
 	 * @param now the time
 	 */
@@ -70,9 +71,9 @@
 	}
 
 	/**
-	 * Send new entries to followers that have nothing in flight. The others get them with
-	 * the next reply or tick, many in one message: a burst of proposals must not become
-	 * as many messages.
+	 * Send new entries to followers that have nothing in flight. The other followers get
+	 * them with the next reply or tick, many in one message, so that a burst of proposals
+	 * does not become as many messages.
 	 * @param commitIndex the commit index
 	 * @param now the time
 	 */
@@ -85,7 +86,7 @@
 	}
 
 	/**
-	 * Begin a new round and send a heartbeat to every member.
+	 * Start a new round and send a heartbeat to every other member.
 	 * @param commitIndex the commit index
 	 * @param now the time
 	 * @return the round
@@ -107,7 +108,7 @@
 	}
 
 	/**
-	 * Take a reply of this term.
+	 * Process a reply of this term.
 	 * @param reply the reply
 	 * @param now the time
 	 */
@@ -126,15 +127,16 @@
 	}
 
 	/**
-	 * Work out how far a quorum of the voters holds the log on disk.
-	 * @return the highest such index
+	 * Compute the highest index up to which a quorum of the voters has made the log
+	 * durable.
+	 * @return that index
 	 */
 	long quorumIndex() {
 		return this.log.membership().reachedByQuorum(this::durableIndex);
 	}
 
 	/**
-	 * Return the latest round that a quorum has confirmed.
+	 * Return the latest heartbeat round that a quorum has confirmed.
 	 * @return the round
 	 */
 	long confirmedRound() {
@@ -142,11 +144,11 @@
 	}
 
 	/**
-	 * Return whether a quorum answered within an election timeout. A leader that is cut
-	 * off must not go on as if it led: callers would wait for it while another one is
+	 * Return whether a quorum has replied within an election timeout. A partitioned
+	 * leader must step down, because clients would wait for it while another leader is
 	 * elected.
 	 * @param now the time
-	 * @return whether it did
+	 * @return whether it has
 	 */
 	boolean hasQuorumContact(long now) {
 		Set<ReplicaId> active = new HashSet<>(Set.of(this.self));
@@ -155,9 +157,9 @@
 	}
 
 	/**
-	 * Choose who could take over leadership.
+	 * Choose the target of a leadership transfer.
 	 * @param now the time
-	 * @return the voter that answers and has caught up furthest
+	 * @return the most up-to-date voter that is in contact
 	 */
 	Optional<ReplicaId> transferTarget(long now) {
 		Set<ReplicaId> voters = this.log.membership().voters();
@@ -212,9 +214,10 @@
 	}
 
 	private void sendHeartbeats(ReplicaId id, Progress progress, long commitIndex) {
-		// While probing, a heartbeat asks whether the logs match. Later it names a place
-		// where they are known to, so that it never fails for a message still in flight;
-		// the place before the first entry matches in every log.
+		// While probing, a heartbeat checks whether the logs match. Later it refers to an
+		// index where they are known to match, so that it is not rejected because of a
+		// message that is still in flight. Index 0, before the first entry, matches in
+		// every log.
 		long previousIndex = (progress.mode() == Progress.Mode.PROBE) ? progress.nextIndex() - 1
 				: progress.matchIndex();
 		sendAppend(id, (previousIndex >= this.log.snapshotIndex()) ? previousIndex : 0, List.of(), commitIndex);
--- a/core/src/main/java/org/acaciacourse/core/consensus/package-info.java
+++ b/core/src/main/java/org/acaciacourse/core/consensus/package-info.java
@@ -1,4 +1,5 @@
 /**
- * The replicated log: election, replication, membership changes and snapshots.
+ * The replicated log, based on Raft: leader election, log replication, membership changes
+ * and snapshots.
  */
 package org.acaciacourse.core.consensus;
