--- a/core/src/main/java/org/acaciacourse/core/consensus/InMemoryLog.java
+++ b/core/src/main/java/org/acaciacourse/core/consensus/InMemoryLog.java
@@ -117,7 +117,8 @@
 	void append(List<LogEntry> newEntries) {
 		for (LogEntry entry : newEntries) {
 			if (entry.index() != lastIndex() + 1) {
-				throw new IllegalStateException("entry " + entry.index() + " does not follow " + lastIndex());
+				throw new IllegalStateException(
+						"entry " + entry.index() + " does not follow the last entry " + lastIndex());
 			}
 			this.entries.add(entry);
 			if (entry.kind() == LogEntry.Kind.MEMBERSHIP) {
--- a/core/src/main/java/org/acaciacourse/core/consensus/RecoveredLog.java
+++ b/core/src/main/java/org/acaciacourse/core/consensus/RecoveredLog.java
@@ -23,7 +23,8 @@
 		long expected = snapshot.map(Snapshot::index).orElse(0L) + 1;
 		for (LogEntry entry : entries) {
 			if (entry.index() != expected) {
-				throw new IllegalArgumentException("expected entry " + expected + " but found " + entry.index());
+				throw new IllegalArgumentException(
+						"log entries are not consecutive: expected index " + expected + ", found " + entry.index());
 			}
 			expected++;
 		}
--- a/core/src/main/java/org/acaciacourse/core/consensus/Replica.java
+++ b/core/src/main/java/org/acaciacourse/core/consensus/Replica.java
@@ -132,7 +132,8 @@
 	@Override
 	public void compacted(Snapshot snapshot) {
 		if (snapshot.index() > this.commitIndex) {
-			throw new IllegalArgumentException("a snapshot covers committed entries only");
+			throw new IllegalArgumentException(
+					"snapshot at index " + snapshot.index() + " is beyond the commit index " + this.commitIndex);
 		}
 		this.log.compact(snapshot);
 	}
@@ -310,7 +311,7 @@
 				continue;
 			}
 			if (entry.index() <= this.commitIndex) {
-				throw new IllegalStateException("a leader wants to replace the committed entry " + entry.index());
+				throw new IllegalStateException("append request conflicts with committed entry " + entry.index());
 			}
 			if (entry.index() <= this.log.lastIndex()) {
 				this.log.truncateFrom(entry.index());
@@ -345,7 +346,7 @@
 
 	private void followLeader(ReplicaId from, long now) {
 		if (this.role == Role.LEADER) {
-			throw new IllegalStateException("term " + term() + " has two leaders");
+			throw new IllegalStateException("two leaders in term " + term());
 		}
 		becomeFollower(term(), Optional.of(from), now);
 		this.election.recordLeaderContact(now);
--- a/core/src/main/java/org/acaciacourse/core/consensus/ReplicaId.java
+++ b/core/src/main/java/org/acaciacourse/core/consensus/ReplicaId.java
@@ -13,7 +13,7 @@
 
 	public ReplicaId {
 		if (value <= 0) {
-			throw new IllegalArgumentException("value must be positive");
+			throw new IllegalArgumentException("replica identifier must be positive: " + value);
 		}
 	}
 
--- a/core/src/main/java/org/acaciacourse/core/consensus/ReplicaTiming.java
+++ b/core/src/main/java/org/acaciacourse/core/consensus/ReplicaTiming.java
@@ -20,10 +20,11 @@
 
 	public ReplicaTiming {
 		if (heartbeatNanos <= 0 || electionTimeoutNanos < 3 * heartbeatNanos) {
-			throw new IllegalArgumentException("an election timeout takes at least three heartbeats");
+			throw new IllegalArgumentException(
+					"heartbeatNanos must be positive and electionTimeoutNanos at least three times as long");
 		}
 		if (maxBatchBytes <= 0 || maxInFlightBytes < maxBatchBytes) {
-			throw new IllegalArgumentException("a batch must fit into the bytes in flight");
+			throw new IllegalArgumentException("maxBatchBytes must be positive and at most maxInFlightBytes");
 		}
 	}
 
