--- a/core/src/test/java/org/acaciacourse/core/consensus/ExplorationTests.java
+++ b/core/src/test/java/org/acaciacourse/core/consensus/ExplorationTests.java
@@ -14,13 +14,14 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * Seeded exploration of {@link Replica} under faults, and mutants that it must catch.
+ * Randomized exploration of {@link Replica} under faults from a seed, and mutants that it
+ * must detect.
  */
 class ExplorationTests {
 
 	private static final int SEEDS = 3_000;
 
-	/** Runs one seed; whatever goes wrong is thrown. */
+	/** Runs one seed and throws on any failure. */
 	private static SimulatedCluster explore(long seed, Faults faults) {
 		SimulatedCluster cluster = new SimulatedCluster(seed, (seed % 5 == 0) ? 5 : 3, faults);
 		cluster.runFor(600);
@@ -56,7 +57,9 @@
 		}
 	}
 
-	/** Leaders fail one after the other, and voters restart between two requests. */
+	/**
+	 * Crashes leaders one after the other, and restarts voters between two vote requests.
+	 */
 	private static void crashAroundElections(SimulatedCluster cluster) {
 		SimulatedNode leader = cluster.leader();
 		if (leader != null && cluster.random.nextInt(3) == 0) {
@@ -72,7 +75,10 @@
 		}
 	}
 
-	/** A second disk may go only after the first is repaired: the brief's own bound. */
+	/**
+	 * Loses a disk only once the previous loss is repaired: the requirements allow no
+	 * second loss before that.
+	 */
 	private static void loseDiskIfRepaired(SimulatedCluster cluster, SimulatedNode node) {
 		if (cluster.isRepaired()) {
 			cluster.loseDisk(node);
@@ -117,7 +123,7 @@
 	}
 
 	/**
-	 * The first VM's disk is lost and repaired, and the second VM fails just after.
+	 * The first VM's disk is lost and repaired, and then the second VM fails.
 	 */
 	@Nested
 	class LostDisk {
@@ -126,8 +132,8 @@
 
 		private long manifestNumber;
 
-		// The first and the second VM commit a manifest that the third misses, and the
-		// first VM's disk is lost.
+		// The first and the second VM commit a manifest that the third one has not
+		// received, and then the first VM loses its disk.
 		private SimulatedNode loseDiskAfterCommit(Faults faults) {
 			this.cluster = new SimulatedCluster(1, 3, faults);
 			this.cluster.runFor(1_000);
@@ -146,9 +152,9 @@
 
 		@Test
 		void secondFailureJustAfterTheRepairLosesNothing() {
-			// The repair brings in a new replica that holds all that was committed before
-			// it counts. So the second VM may lose its disk as well: the third and the
-			// new one are a quorum and hold the manifest.
+			// The repair adds a new replica, which has all committed entries before it
+			// becomes a voter. The second VM may therefore lose its disk too: the third
+			// and the new one are a quorum and have the manifest.
 			SimulatedNode second = loseDiskAfterCommit(new Faults());
 			for (int i = 0; i < 100 && !this.cluster.isRepaired(); i++) {
 				this.cluster.runFor(20);
@@ -161,8 +167,9 @@
 
 		@Test
 		void newIdentityDoesNotVoteBeforeTheRepair() {
-			// The second VM stops before the repair is done. The third one alone misses
-			// the manifest, and the empty replica must not help it to lead.
+			// The second VM stops before the repair is complete. The third one alone does
+			// not have the manifest, and the empty replica must not help it to become
+			// leader.
 			SimulatedNode second = loseDiskAfterCommit(new Faults());
 			this.cluster.crash(second);
 			this.cluster.runFor(1_000);
@@ -174,9 +181,9 @@
 
 		@Test
 		void rejoinUnderTheOldIdentityLosesACommit() {
-			// The same failures, but the empty replica comes back as the old one. It
-			// votes for the third, and both commit other entries in place of the
-			// manifest.
+			// The same failures, but the empty replica returns with the previous
+			// identifier. It votes for the third one, and the two commit other entries in
+			// place of the manifest.
 			SimulatedNode second = loseDiskAfterCommit(new RejoinUnderOldIdentity());
 			this.cluster.crash(second);
 			Throwable violation = Try.run(() -> this.cluster.runFor(1_000)).getCause();
@@ -186,8 +193,8 @@
 	}
 
 	/**
-	 * Of five VMs one after the other is replaced for good by an empty one with another
-	 * name, while messages are lost and operators go on.
+	 * VMs of a cluster of five are replaced permanently, one after the other, by empty
+	 * VMs with another name, while messages are lost and operators continue to work.
 	 */
 	@Nested
 	class ReplacedVm {
@@ -206,11 +213,10 @@
 			History.checkProgress(cluster.isRepaired(), "not repaired: " + cluster.describe());
 		}
 
-		// The VM that is gone still counts for the quorum until the newcomer has its
-		// place.
-		// Were the newcomer to count before it holds what was acknowledged, or the old
-		// one
-		// after it, two more lost disks would take a manifest along or stop the log.
+		// Guards against a replacement that loses a manifest or stops the log when two
+		// more disks are lost. The replaced VM counts towards the quorum until the new
+		// replica becomes a voter. The new replica must not count before it has all
+		// acknowledged entries, nor the replaced VM after that.
 		@Test
 		void twoDisksMayBeLostAtOnceAfterEachReplacement() {
 			for (long seed = 0; seed < RUNS; seed++) {
@@ -235,8 +241,8 @@
 	}
 
 	/**
-	 * Each mutant gets one step wrong that the brief's faults depend on. If a mutant
-	 * passes, the exploration would not notice the same mistake in the product.
+	 * Each mutant gets one step wrong that fault tolerance depends on. If a mutant
+	 * passes, the exploration would not detect the same mistake in the real code.
 	 */
 	@Nested
 	class Mutants {
@@ -247,7 +253,8 @@
 					explore(seed, mutant);
 				}
 				catch (History.Stall ex) {
-					// Not what the mutant is to be caught for.
+					// A mutant must violate an invariant, so a lack of progress does not
+					// count.
 				}
 				catch (RuntimeException ex) {
 
@@ -259,8 +266,8 @@
 
 		@Test
 		void skippedSyncIsCaught() {
-			// The disk reports a sync that it did not make, and the VM crashes.
-			// Acknowledged entries are gone, and a leader is elected without them.
+			// The disk reports a sync that it did not perform, and the VM crashes.
+			// Acknowledged entries are lost, and a leader is elected without them.
 			assertThat(violationOf(new Faults() {
 				@Override
 				SimulatedDisk newDisk() {
@@ -300,8 +307,8 @@
 
 		@Test
 		void leaseNotRecheckedAfterAFreezeIsCaught() {
-			// The holder checks its lease, is frozen past its end and sends on waking,
-			// while another VM holds the lease.
+			// The holder checks its lease, is frozen past the end of the lease, and acts
+			// on the check when it resumes, while another VM holds the lease.
 			assertThat(violationOf(new Faults() {
 				@Override
 				OptionalLong fencingNumber(SimulatedNode node) {
@@ -313,15 +320,15 @@
 
 		@Test
 		void rejoinUnderTheOldIdentityIsCaught() {
-			// A replica whose disk is lost comes back empty as if it were the old one. It
-			// has forgotten its votes and the entries that it acknowledged.
+			// A replica whose disk was lost returns empty with the previous identifier.
+			// It has lost its votes and the entries that it acknowledged.
 			assertThat(violationOf(new RejoinUnderOldIdentity())).containsMatch("two leaders|committed entry");
 		}
 
 		@Test
 		void leaseByWallClocksIsCaught() {
-			// A leader whose wall clock is ahead takes over and ends the lease at once,
-			// while its holder still relies on it.
+			// A new leader whose wall clock is ahead expires the lease at once, while its
+			// holder still relies on it.
 			assertThat(violationOf(new Faults() {
 				@Override
 				long proposedAt(SimulatedNode node, Optional<ProposalClock> clock) {
@@ -332,7 +339,9 @@
 
 	}
 
-	/** Gives an empty replica the identity of the one that lost its disk. */
+	/**
+	 * A faulty join: an empty replica takes the identifier of the one that lost its disk.
+	 */
 	private static final class RejoinUnderOldIdentity extends Faults {
 
 		@Override
--- a/core/src/test/java/org/acaciacourse/core/consensus/Faults.java
+++ b/core/src/test/java/org/acaciacourse/core/consensus/Faults.java
@@ -6,7 +6,8 @@
 import org.acaciacourse.core.state.ProposalClock;
 
 /**
- * The steps that a mutant gets wrong; here they are right.
+ * The overridable steps of a {@link SimulatedCluster}. These are correct; a mutant
+ * overrides one of them with a faulty version.
  */
 class Faults {
 
--- a/core/src/test/java/org/acaciacourse/core/consensus/History.java
+++ b/core/src/test/java/org/acaciacourse/core/consensus/History.java
@@ -17,8 +17,8 @@
 import org.acaciacourse.core.state.ControlState;
 
 /**
- * What all nodes of a {@link SimulatedCluster} did, seen from outside, and the invariants
- * over it. A violation is thrown as {@link Violation}.
+ * The history of all nodes of a {@link SimulatedCluster} as seen from outside, and the
+ * invariants over it. A violation is thrown as {@link Violation}.
  */
 class History {
 
@@ -117,7 +117,7 @@
 		}
 	}
 
-	/** Nothing wrong was done, but nothing gets done any more. */
+	/** The cluster makes no progress, but no invariant is violated. */
 	static final class Stall extends RuntimeException {
 
 		Stall(String message) {
@@ -126,7 +126,7 @@
 
 	}
 
-	/** An invariant does not hold. */
+	/** An invariant is violated. */
 	static final class Violation extends RuntimeException {
 
 		Violation(String message) {
--- a/core/src/test/java/org/acaciacourse/core/consensus/MembershipManagerTests.java
+++ b/core/src/test/java/org/acaciacourse/core/consensus/MembershipManagerTests.java
@@ -35,8 +35,9 @@
 
 	@Test
 	void newLeaderContinuesAReplacement() {
-		// The leader fails after each step. The next one knows nothing but the committed
-		// membership and must neither stop half way nor promote a learner too early.
+		// The leader fails after each step. The next leader knows only the committed
+		// membership and must neither leave the replacement unfinished nor promote a
+		// learner too early.
 		Membership current = new Membership(List.of(A, B, C));
 		this.manager.join(LEARNER_B);
 		current = next(current, 10, (id) -> 0).orElseThrow();
@@ -61,8 +62,8 @@
 
 	@Test
 	void voterInContactIsNotReplaced() {
-		// A second process starts with the name of a VM that works. It must not push the
-		// replica out that holds the log.
+		// A second process starts with the name of a running VM. It must not displace the
+		// replica that has the log.
 		Membership current = new Membership(List.of(A, B, C, member(5, "a", false)));
 		assertThat(next(current, 10, (id) -> 10)).isEqualTo(Optional.empty());
 	}
@@ -76,17 +77,17 @@
 
 	@Test
 	void twoProcessesOfOneVmDoNotReplaceEachOther() {
-		// Both ask to join again and again. If each replaced the other, the log would
-		// fill with changes of the membership and none would ever catch up.
+		// Both processes keep asking to join. If each replaced the other, the log would
+		// fill with membership changes and neither would ever catch up.
 		Membership current = new Membership(List.of(A, C, LEARNER_B));
 		this.manager.join(member(6, "b", false));
 		assertThat(this.manager.next(current, true, 10, (id) -> 0, (id) -> true)).isEqualTo(Optional.empty());
 	}
 
-	// A VM is replaced for good by one with another name. Its voter would count for the
-	// quorum for ever: of five voters one is dead, and two more losses stop the log. The
-	// newcomer takes its place once it has caught up, and not while the voter may only be
-	// restarting.
+	// Guards against a dead voter that is never removed. A VM is replaced permanently by
+	// one with another name. If its voter stayed, one of five voters would be dead and
+	// two more failures would stop the log. The new replica replaces it once it has
+	// caught up, but not while the voter may only be restarting.
 	@Test
 	void longAbsentVoterIsReplacedByANewVm() {
 		Member d = member(7, "d", true);
@@ -106,9 +107,10 @@
 	}
 
 	/*
-	 * A new leader finds two voters absent and has seen neither before. Which of them it
-	 * removes must follow from the membership alone: else a sequence of failures that
-	 * lost the log once cannot be played again.
+	 * Guards against a removal that cannot be reproduced. A new leader finds two voters
+	 * absent that it has never been in contact with. Which of them it removes must follow
+	 * from the membership alone, otherwise a sequence of failures that once lost the log
+	 * cannot be replayed.
 	 */
 	@Test
 	void equallyAbsentVotersAreRemovedInTheOrderOfTheirIdentities() {
@@ -158,9 +160,10 @@
 		assertThat(nextWithoutB(full)).isEqualTo(Optional.empty());
 	}
 
-	// A replica with an empty folder says that it is ready, and whoever replaces the
-	// control VMs one by one stops the next one. Were it a learner still, two voters of
-	// three would be gone, and the log would stop until one of them came back.
+	// Guards against reporting a joining replica as ready too early. An operator who
+	// replaces the control VMs one by one stops the next VM once the replica is ready. If
+	// it were still a learner, two of three voters would be down and the log would stop
+	// until one of them returned.
 	@Test
 	void joiningReplicaHasItsFinalRoleOnlyAsAVoter() {
 		assertThat(MembershipManager.isSettled(new Membership(List.of(A, B, C)), LEARNER_B.id())).isFalse();
--- a/core/src/test/java/org/acaciacourse/core/consensus/ReplicaTests.java
+++ b/core/src/test/java/org/acaciacourse/core/consensus/ReplicaTests.java
@@ -15,7 +15,7 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * Tests for {@link Replica} of rules that random runs reach too rarely.
+ * Tests for {@link Replica}: rules that random runs exercise too rarely.
  */
 class ReplicaTests {
 
@@ -29,7 +29,8 @@
 
 	private final RecordingActions recorder = new RecordingActions();
 
-	// Entry 1 lists all three, and more follow, all of term 1.
+	// Entry 1 is the membership of all three replicas. It is followed by commands, all of
+	// term 1.
 	private Replica replica(int entries) {
 		List<LogEntry> log = new ArrayList<>();
 		log.add(new LogEntry(1, 1, LogEntry.Kind.MEMBERSHIP, MembershipCodec.encode(new Membership(List.of(A, B, C)))));
@@ -43,7 +44,7 @@
 		return new Replica(A.id(), "a", recovered, TIMING, 1, this.recorder, 0);
 	}
 
-	// Starts the replica of a member with the log of all three.
+	// Starts the replica of a member whose log contains the membership of all three.
 	private Replica start(Member member) {
 		LogEntry members = new LogEntry(1, 1, LogEntry.Kind.MEMBERSHIP,
 				MembershipCodec.encode(new Membership(List.of(A, B, C))));
@@ -70,9 +71,10 @@
 
 		@Test
 		void entryOfAnEarlierTermIsNotCommittedByCount() {
-			// Two of three hold entry 2 of an earlier term. If that committed it, a
-			// replica with a later entry in its place could still be elected and replace
-			// it (the paper's figure 8).
+			// Guards against committing an entry of an earlier term by counting replicas.
+			// Two of three replicas have entry 2 of an earlier term. If that committed
+			// it, a replica with a later entry at that index could still be elected and
+			// overwrite it (figure 8 of the Raft paper).
 			Replica replica = leader(2);
 			replica.receive(new AppendReply(B.id(), 2, true, 2, 1), 203);
 			replica.durable(3, 2, 204);
@@ -83,8 +85,9 @@
 
 		@Test
 		void leaderCountsItselfOnlyOnceTheEntryIsDurable() {
-			// The only replica of a new system acknowledges a manifest and loses power
-			// before the sync. The operator would find the manifest gone.
+			// Guards against the loss of an acknowledged manifest. The only replica of a
+			// new system must not commit an entry before it is synced, as a power failure
+			// would lose it.
 			Replica replica = start(RecoveredLog.bootstrap(A));
 			replica.tick(200);
 			replica.durable(2, 2, 201);
@@ -97,8 +100,9 @@
 
 	}
 
-	// All VMs lose power and start at once. Two replicas that stand within the time of a
-	// vote take each other's votes, and callers wait for a second round.
+	// Guards against a split vote after a power failure of all VMs. They start at the
+	// same time, and two candidates within the time of a vote split the vote, so that
+	// clients wait for a second round.
 	@Nested
 	class SimultaneousStart {
 
@@ -124,9 +128,9 @@
 
 		@Test
 		void lateSnapshotDoesNotDropAcknowledgedEntries() {
-			// The follower acknowledged entry 3, so the leader counts on it. A snapshot
-			// sent before arrives now. If entry 3 went with it, a quorum would no longer
-			// hold what is committed.
+			// The follower acknowledged entry 3, so the leader counts it. A snapshot that
+			// was sent earlier arrives now. If the follower discarded entry 3, a
+			// committed entry would no longer be stored on a quorum.
 			Replica replica = replica(3);
 			Snapshot late = new Snapshot(2, 1, new Membership(List.of(A, B, C)), new byte[0]);
 			replica.receive(new SnapshotRequest(B.id(), 1, late, 1), 1);
@@ -146,8 +150,9 @@
 
 		@Test
 		void candidateIsRefusedWhileTheLeaderIsInContact() {
-			// A replica that cannot hear the leader stands for election. Those that hear
-			// it must neither grant this nor take over the higher term.
+			// A replica that cannot reach the leader starts an election. Replicas in
+			// contact with the leader must neither grant the vote nor adopt the higher
+			// term.
 			Replica replica = replica(1);
 			replica.receive(new AppendRequest(B.id(), 1, 1, 1, List.of(), 1, 1), 1);
 			replica.receive(new VoteRequest(C.id(), 9, 9, 9, false, false), 50);
@@ -163,8 +168,8 @@
 
 		@Test
 		void waitsForAQuorumThatAnswersAfterIt() {
-			// A leader that was frozen does not know that another one commits. An answer
-			// to a round from before the read must not let the read through.
+			// A leader that was frozen does not know that another leader commits entries.
+			// A reply to a round that started before the read must not confirm the read.
 			Replica replica = leader(1);
 			replica.durable(2, 2, 203);
 			replica.receive(new AppendReply(B.id(), 2, true, 2, 1), 204);
@@ -177,7 +182,7 @@
 
 	}
 
-	/** Keeps what was asked for. */
+	/** Records the requested actions. */
 	private static final class RecordingActions implements ReplicaActions {
 
 		private final List<Snapshot> installed = new ArrayList<>();
--- a/core/src/test/java/org/acaciacourse/core/consensus/ReturningVmTests.java
+++ b/core/src/test/java/org/acaciacourse/core/consensus/ReturningVmTests.java
@@ -6,7 +6,7 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * Tests that a VM which keeps its disk rejoins after another VM has replaced it in the
+ * Tests that a VM that keeps its disk rejoins after another VM has replaced it in the
  * membership.
  */
 class ReturningVmTests {
@@ -75,8 +75,7 @@
 			}
 		}
 
-		// Guards against a former leader that keeps standing for election and never
-		// rejoins.
+		// Guards against a former leader that keeps starting elections and never rejoins.
 		@Test
 		void formerLeaderRejoins() {
 			for (long seed = 0; seed < RUNS; seed++) {
--- a/core/src/test/java/org/acaciacourse/core/consensus/SimulatedCluster.java
+++ b/core/src/test/java/org/acaciacourse/core/consensus/SimulatedCluster.java
@@ -21,8 +21,8 @@
 import org.acaciacourse.core.state.CommandResult.LeaseResult;
 
 /**
- * Some replicas on a fake network and fake disks in virtual time, with faults drawn from
- * a seed. The same seed gives the same run.
+ * A cluster of replicas on a simulated network and simulated disks in virtual time, with
+ * faults drawn from a seed. The same seed gives the same run.
  */
 class SimulatedCluster {
 
@@ -108,14 +108,14 @@
 		return new ArrayList<>(this.nodes.values()).get(this.random.nextInt(this.nodes.size()));
 	}
 
-	/** Runs until a time; faults and operations come as the caller injects them. */
+	/** Runs the events up to a time. Faults and operations are injected by the caller. */
 	void runUntil(long end) {
 		while (!this.events.isEmpty() && this.events.peek().at <= end) {
 			Event event = this.events.poll();
 			this.now = Math.max(this.now, event.at);
 			SimulatedNode node = this.nodes.get(event.vm);
 			if (node == null) {
-				// The VM was replaced for good: what was meant for it is lost.
+				// The VM was replaced permanently: events for it are lost.
 				continue;
 			}
 			if (node.frozenUntil > this.now) {
@@ -124,8 +124,7 @@
 			}
 			this.steps++;
 			event.action.run();
-			// Several events may share a sync; long stalls of the disk come with the
-			// faults.
+			// Several events may share a sync. Longer disk stalls are injected as faults.
 			if (node.up && (this.faultsStopped || this.random.nextInt(3) > 0)) {
 				node.flush();
 			}
@@ -190,7 +189,10 @@
 		});
 	}
 
-	/** Operators race: several propose the same number, also to a leader of old. */
+	/**
+	 * Proposes a new manifest. Several operators may propose the same number
+	 * concurrently, and may also do so at a former leader.
+	 */
 	void proposeManifest(SimulatedNode node) {
 		if (!node.up || node.frozenUntil > this.now || !node.canPropose()) {
 			return;
@@ -204,7 +206,8 @@
 		node.propose(put, (result) -> this.history.acknowledged(result, node.appliedIndex));
 	}
 
-	// Callers resend a request through other VMs; only one may be let through.
+	// Proposes a claim. Clients resend a request through other VMs, and only one of them
+	// may be granted the claim.
 	void proposeClaim(SimulatedNode node) {
 		if (!node.up || node.frozenUntil > this.now || !node.canPropose()) {
 			return;
@@ -227,7 +230,8 @@
 		}
 	}
 
-	// A frozen node finds the request when it wakes, perhaps before it notices the time.
+	// Requests a linearizable read at a random node. A frozen node processes the request
+	// when it resumes, possibly before it notices that time has passed.
 	void requestRead() {
 		SimulatedNode receiver = randomNode();
 		schedule(this.now, receiver.vm, () -> {
@@ -254,8 +258,9 @@
 		return !node.up;
 	}
 
-	// Two late transfers of leadership make two candidates in one term, which may not
-	// hear each other: only the votes of the others keep them apart.
+	// Makes two nodes candidates in the same term by two delayed leadership transfers.
+	// The candidates may be unable to reach each other, so that only the votes of the
+	// other nodes prevent two leaders.
 	void raceElection() {
 		SimulatedNode leader = leader();
 		if (leader == null) {
@@ -296,7 +301,7 @@
 		}
 	}
 
-	/** The disk is gone; an empty one takes its place, at once or when the VM is back. */
+	/** Replaces a node's disk with an empty one and restarts the replica from it. */
 	SimulatedNode loseDisk(SimulatedNode node) {
 		countFault("lost disk");
 		node.up = false;
@@ -304,7 +309,7 @@
 		return start(node.vm, id, this.faults.newDisk());
 	}
 
-	/** The VM is gone for good, and an empty one with another name takes its place. */
+	/** Replaces a VM permanently by an empty one with another name. */
 	SimulatedNode replace(SimulatedNode replaced) {
 		countFault("replaced VM");
 		replaced.up = false;
@@ -351,7 +356,7 @@
 		this.crashRate = crash;
 	}
 
-	/** All faults end; whoever is down starts again. */
+	/** Stops all faults and restarts all nodes that are down. */
 	void stopFaults() {
 		this.faultsStopped = true;
 		heal();
@@ -424,7 +429,7 @@
 		this.events.add(new Event(time, nextNumber(), vm, action));
 	}
 
-	/** Events at the same time come in the order in which they were made. */
+	/** An event. Events at the same time are processed in the order of their creation. */
 	private record Event(long at, long number, String vm, Runnable action) implements Comparable<Event> {
 
 		@Override
--- a/core/src/test/java/org/acaciacourse/core/consensus/SimulatedDisk.java
+++ b/core/src/test/java/org/acaciacourse/core/consensus/SimulatedDisk.java
@@ -8,8 +8,8 @@
 import java.util.Random;
 
 /**
- * A disk in memory: writes last only once they are synced. A crash keeps some prefix of
- * the writes since the last sync. Mutants override a step.
+ * A disk in memory. Writes are durable only once they are synced; a crash keeps a random
+ * prefix of the writes since the last sync. Mutants override methods.
  */
 class SimulatedDisk {
 
--- a/core/src/test/java/org/acaciacourse/core/consensus/SimulatedNode.java
+++ b/core/src/test/java/org/acaciacourse/core/consensus/SimulatedNode.java
@@ -19,8 +19,8 @@
 import org.acaciacourse.core.state.ProposalClock;
 
 /**
- * A replica on a VM of the {@link SimulatedCluster}, with its disk, its state machine, a
- * clock of its own and a holder of the lease "writer".
+ * A replica on a VM of the {@link SimulatedCluster}, with its own disk, state machine and
+ * clock, and a holder of the lease "writer".
  */
 class SimulatedNode implements ReplicaActions {
 
@@ -82,7 +82,10 @@
 				monotonic());
 	}
 
-	/** Rates differ by up to 0.2 percent, starts by hours, wall clocks by 20 seconds. */
+	/**
+	 * Return the time of the VM's monotonic clock. Clock rates differ by up to 0.2
+	 * percent and clock origins by hours; the wall clocks differ by up to 20 seconds.
+	 */
 	long monotonic() {
 		return this.cluster.now / 1_000 * rate() + this.vm.hashCode() * 1_000_000L;
 	}
@@ -136,12 +139,14 @@
 		this.replica.read(number, monotonic());
 	}
 
-	// One sync for all events since the last one, then the messages, as the daemon does.
+	// Does one sync for all events since the last one and then sends the messages, as the
+	// daemon does.
 	void flush() {
 		long index = this.disk.lastWrittenIndex();
 		long term = this.disk.lastWrittenTerm();
 		boolean dirty = this.disk.isDirty();
-		// Votes are rare, and a crash right after one is what an election must survive.
+		// Votes are rare, and an election must survive a crash right after one, so
+		// crashes are more likely here.
 		int weight = (this.votePending) ? 10 : 1;
 		if (dirty && this.cluster.crashAtRandom(this, weight)) {
 			return;
