--- a/core/src/test/java/org/acaciacourse/core/consensus/ExplorationTests.java
+++ b/core/src/test/java/org/acaciacourse/core/consensus/ExplorationTests.java
@@ -51,7 +51,7 @@
 			case 6, 7 -> node.compact();
 			case 8 -> node.replica.transferLeadership(node.monotonic());
 			case 9 -> loseDiskIfRepaired(cluster, node);
-			case 10, 11 -> cluster.raceElection();
+			case 10, 11 -> cluster.startTwoCandidates();
 			default -> {
 			}
 		}
@@ -67,7 +67,7 @@
 				cluster.crashFor(leader, cluster.random.nextInt(150));
 			}
 			else {
-				cluster.raceElection();
+				cluster.startTwoCandidates();
 			}
 		}
 		if (leader == null) {
--- a/core/src/test/java/org/acaciacourse/core/consensus/SimulatedCluster.java
+++ b/core/src/test/java/org/acaciacourse/core/consensus/SimulatedCluster.java
@@ -261,7 +261,7 @@
 	// Makes two nodes candidates in the same term by two delayed leadership transfers.
 	// The candidates may be unable to reach each other, so that only the votes of the
 	// other nodes prevent two leaders.
-	void raceElection() {
+	void startTwoCandidates() {
 		SimulatedNode leader = leader();
 		if (leader == null) {
 			return;
