--- a/core/src/test/java/org/acaciacourse/core/consensus/ExplorationTests.java
+++ b/core/src/test/java/org/acaciacourse/core/consensus/ExplorationTests.java
@@ -89,7 +89,7 @@
 		cluster.stopFaults();
 		cluster.runFor(2_000);
 		SimulatedNode leader = cluster.leader();
-		History.checkProgress(leader != null, "no leader after all faults ended: " + cluster.describe());
+		History.checkProgress(leader != null, "no leader after all faults were stopped: " + cluster.describe());
 		long before = cluster.history.acknowledgedIndex();
 		for (int i = 0; i < 20 && cluster.history.acknowledgedIndex() == before; i++) {
 			cluster.proposeManifest(leader);
@@ -97,7 +97,7 @@
 		}
 		cluster.runFor(200);
 		History.checkProgress(cluster.history.acknowledgedIndex() > before,
-				"no commit after all faults ended: " + cluster.describe());
+				"no commit after all faults were stopped: " + cluster.describe());
 		for (SimulatedNode node : cluster.nodes.values()) {
 			History.checkProgress(node.appliedIndex >= before, node.vm + " did not catch up: " + cluster.describe());
 		}
@@ -210,7 +210,7 @@
 				cluster.requestRead();
 				cluster.runFor(20);
 			}
-			History.checkProgress(cluster.isRepaired(), "not repaired: " + cluster.describe());
+			History.checkProgress(cluster.isRepaired(), "membership not repaired: " + cluster.describe());
 		}
 
 		// Guards against a replacement that loses a manifest or stops the log when two
@@ -315,7 +315,7 @@
 					boolean waking = node.monotonic() - node.thawedAt() < SimulatedCluster.MILLISECOND;
 					return (waking) ? node.fencingNumberBeforeFreeze : super.fencingNumber(node);
 				}
-			})).isEqualTo("two holders of a lease act");
+			})).isEqualTo("two nodes hold the lease at once");
 		}
 
 		@Test
@@ -334,7 +334,7 @@
 				long proposedAt(SimulatedNode node, Optional<ProposalClock> clock) {
 					return node.wallMillis();
 				}
-			})).isEqualTo("two holders of a lease act");
+			})).isEqualTo("two nodes hold the lease at once");
 		}
 
 	}
--- a/core/src/test/java/org/acaciacourse/core/consensus/History.java
+++ b/core/src/test/java/org/acaciacourse/core/consensus/History.java
@@ -51,7 +51,8 @@
 	}
 
 	void applied(SimulatedNode node, LogEntry entry) {
-		check(entry.index() == node.appliedIndex + 1, "applied out of order");
+		check(entry.index() == node.appliedIndex + 1,
+				"entry " + entry.index() + " applied after entry " + node.appliedIndex);
 		LogEntry previous = this.committed.putIfAbsent(entry.index(), entry);
 		boolean same = previous == null
 				|| (previous.term() == entry.term() && Arrays.equals(previous.payload(), entry.payload()));
@@ -62,9 +63,11 @@
 	void result(long index, Command command, CommandResult result, ControlState state) {
 		if (result instanceof LeaseResult lease && lease.code() == ResultCode.OK && !lease.holder().isEmpty()) {
 			String holder = this.fencing.putIfAbsent(lease.fencingNumber(), lease.holder());
-			check(holder == null || holder.equals(lease.holder()), "fencing number given out twice");
+			check(holder == null || holder.equals(lease.holder()),
+					"fencing number " + lease.fencingNumber() + " issued to two holders");
 			if (index > this.highestFencingIndex) {
-				check(lease.fencingNumber() >= this.highestFencing, "fencing number fell");
+				check(lease.fencingNumber() >= this.highestFencing,
+						"fencing number decreased to " + lease.fencingNumber());
 				this.highestFencing = lease.fencingNumber();
 				this.highestFencingIndex = index;
 			}
@@ -79,7 +82,7 @@
 
 	private void checkClaim(Command command, ClaimResult result) {
 		if (command instanceof Command.Claim claim && result.granted()) {
-			check(this.running.add(claim.key()), "a claim was granted twice");
+			check(this.running.add(claim.key()), "claim granted twice: " + claim.key());
 		}
 		else if (command instanceof Command.CompleteClaim complete && result.outcome() == ClaimOutcome.NOT_RUN) {
 			this.running.remove(complete.key());
--- a/core/src/test/java/org/acaciacourse/core/consensus/SimulatedCluster.java
+++ b/core/src/test/java/org/acaciacourse/core/consensus/SimulatedCluster.java
@@ -246,8 +246,9 @@
 		long number = this.history.acknowledgedNumber();
 		long index = this.history.acknowledgedIndex();
 		node.read(() -> {
-			History.check(node.appliedIndex >= index, "a linearizable read is behind entry " + index);
-			History.check(node.state.number() >= number, "a linearizable read is behind manifest " + number);
+			History.check(node.appliedIndex >= index, "stale linearizable read: entry " + index + " is not applied");
+			History.check(node.state.number() >= number,
+					"stale linearizable read: manifest " + number + " is not applied");
 		});
 	}
 
@@ -266,7 +267,7 @@
 		if (leader == null) {
 			return;
 		}
-		countFault("raced election");
+		countFault("two candidates");
 		boolean cutCandidates = this.random.nextBoolean();
 		ReplicaMessage message = new ReplicaMessage.TimeoutNow(leader.id, leader.replica.status().term());
 		List<SimulatedNode> candidates = this.nodes.values()
@@ -406,7 +407,7 @@
 		for (SimulatedNode node : this.nodes.values()) {
 			holders += (holdsLease(node)) ? 1 : 0;
 		}
-		History.check(holders <= 1, "two holders of a lease act");
+		History.check(holders <= 1, "two nodes hold the lease at once");
 	}
 
 	private boolean holdsLease(SimulatedNode node) {
