--- a/daemon/src/main/java/org/acaciacourse/daemon/route/Attempt.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/route/Attempt.java
@@ -29,41 +29,41 @@
  * <p>
  * Not thread safe: belongs to the event loop.
  */
-final class Attempt implements EndpointLink.Listener {
+final class Attempt implements EndpointConnection.Listener {
 
 	/** The largest body that is collected; streams are passed on as they come. */
-	private static final int MAX_BODY = 32 * 1024 * 1024;
+	private static final int MAX_BODY_BYTES = 32 * 1024 * 1024;
 
 	/**
 	 * A service that took twice its target is slow or lost; its slowest calls take less.
 	 */
-	private static final int SILENT_TARGETS = 2;
+	private static final int SILENCE_TARGET_FACTOR = 2;
 
 	/**
 	 * Prompts are read at some 60 tokens in a millisecond; half of that in a full batch.
 	 */
-	private static final long TOKENS_PER_MILLI = 30;
+	private static final long PROMPT_TOKENS_PER_MILLI = 30;
 
 	/** Misdirected request: the address belongs to another instance now. */
-	private static final int WRONG_INSTANCE = 421;
+	private static final int MISDIRECTED_REQUEST = 421;
 
 	private final RoutedExchange exchange;
 
 	private final FleetEndpoint endpoint;
 
-	private final Form form = new Form();
+	private final PartialResponse partial = new PartialResponse();
 
 	private final PlacedRequest placed;
 
-	private final long begunAt = System.nanoTime();
+	private final long startedAt = System.nanoTime();
 
-	private EndpointLink link;
+	private EndpointConnection connection;
 
-	private ScheduledFuture<?> silence;
+	private ScheduledFuture<?> silenceCheck;
 
 	private long sentAt;
 
-	private long heardAt;
+	private long lastActivityAt;
 
 	private boolean done;
 
@@ -84,23 +84,23 @@
 
 	/**
 	 * Send the request.
-	 * @param over the connection
-	 * @param message the request
+	 * @param endpointConnection the connection
+	 * @param httpRequest the request
 	 */
-	void send(EndpointLink over, FullHttpRequest message) {
-		this.link = over;
+	void send(EndpointConnection endpointConnection, FullHttpRequest httpRequest) {
+		this.connection = endpointConnection;
 		this.sentAt = System.nanoTime();
-		this.heardAt = this.sentAt;
-		watch(silentAfterNanos());
-		over.send(message, this);
+		this.lastActivityAt = this.sentAt;
+		scheduleSilenceCheck(silenceTimeoutNanos());
+		endpointConnection.send(httpRequest, this);
 	}
 
 	/** Give the attempt up; its endpoint sees the connection close. */
 	void cancel() {
 		if (!this.done) {
-			settle(Outcome.UNKNOWN);
-			if (this.link != null) {
-				this.link.abandon();
+			finish(Outcome.UNKNOWN);
+			if (this.connection != null) {
+				this.connection.abandon();
 			}
 		}
 	}
@@ -114,62 +114,63 @@
 		if (this.done) {
 			return;
 		}
-		settle(outcome);
-		tell(end);
-		this.exchange.ended(this, end);
+		finish(outcome);
+		logEnd(end);
+		this.exchange.attemptEnded(this, end);
 	}
 
-	private void tell(AttemptEnd end) {
+	private void logEnd(AttemptEnd end) {
 		long now = System.nanoTime();
 		String instance = this.endpoint.instance();
-		long silent = TimeUnit.NANOSECONDS.toMillis(now - this.heardAt);
-		PlacedRequest.Belief belief = this.placed.belief(now);
+		long silentMillis = TimeUnit.NANOSECONDS.toMillis(now - this.lastActivityAt);
+		PlacedRequest.Belief estimate = this.placed.belief(now);
 		DecisionLog.write(LogEvent.ATTEMPT_ENDED, this.exchange.request().facts().id(), instance, end.name(),
-				TimeUnit.NANOSECONDS.toMillis(now - this.begunAt), (this.sentAt != 0) ? silent : null, belief.running(),
-				belief.waitingWork(), Math.round(belief.failureRate() * 100) / 100.0);
+				TimeUnit.NANOSECONDS.toMillis(now - this.startedAt), (this.sentAt != 0) ? silentMillis : null,
+				estimate.running(), estimate.waitingWork(), Math.round(estimate.failureRate() * 100) / 100.0);
 	}
 
-	private void settle(Outcome outcome) {
+	private void finish(Outcome outcome) {
 		this.done = true;
-		if (this.silence != null) {
-			this.silence.cancel(false);
+		if (this.silenceCheck != null) {
+			this.silenceCheck.cancel(false);
 		}
 		this.placed.end(outcome, System.nanoTime());
 	}
 
 	private void abandon(AttemptEnd end, Outcome outcome) {
-		this.link.abandon();
+		this.connection.abandon();
 		end(end, outcome);
 	}
 
-	private void heard() {
-		this.heardAt = System.nanoTime();
-		this.placed.heard(this.heardAt);
+	private void recordActivity() {
+		this.lastActivityAt = System.nanoTime();
+		this.placed.heard(this.lastActivityAt);
 	}
 
 	@Override
-	public void head(HttpResponse head) {
-		heard();
+	public void headReceived(HttpResponse head) {
+		recordActivity();
 		RequestDialect.AnswerFacts facts = this.exchange.context().dialect().answer(head.headers());
-		facts.load().ifPresent((load) -> this.placed.report(load.running(), load.waiting(), this.heardAt));
-		facts.idleSeconds().ifPresent((seconds) -> this.exchange.context().links().idleTimeout(this.endpoint, seconds));
+		facts.load().ifPresent((load) -> this.placed.report(load.running(), load.waiting(), this.lastActivityAt));
+		facts.idleTimeoutSeconds()
+			.ifPresent((seconds) -> this.exchange.context().connections().setIdleTimeout(this.endpoint, seconds));
 		int status = head.status().code();
-		boolean notRun = facts.notRun() || status == WRONG_INSTANCE;
-		boolean own = facts.requestId().equals(this.exchange.request().facts().id());
-		if (!own && !notRun) {
+		boolean notRun = facts.notRun() || status == MISDIRECTED_REQUEST;
+		boolean ownResponse = facts.requestId().equals(this.exchange.request().facts().id());
+		if (!ownResponse && !notRun) {
 			abandon(AttemptEnd.MISMATCH, Outcome.FAILED);
 		}
 		else if (notRun) {
-			this.form.begin(Form.Mode.NOT_RUN, head);
+			this.partial.start(PartialResponse.Mode.NOT_RUN, head);
 		}
 		else if (status / 100 == 2 && !facts.sealed()) {
 			abandon(AttemptEnd.BROKEN, Outcome.FAILED);
 		}
 		else if (status / 100 == 2 && isStream(head)) {
-			this.form.begin(Form.Mode.STREAM, head);
+			this.partial.start(PartialResponse.Mode.STREAM, head);
 		}
 		else {
-			this.form.begin(Form.Mode.WHOLE, head);
+			this.partial.start(PartialResponse.Mode.BUFFERED, head);
 		}
 	}
 
@@ -179,113 +180,117 @@
 	}
 
 	@Override
-	public void content(ByteBuf bytes) {
-		heard();
+	public void contentReceived(ByteBuf bytes) {
+		recordActivity();
 		if (this.done) {
 			return;
 		}
-		if (this.form.mode == Form.Mode.STREAM) {
-			events(ByteBufUtil.getBytes(bytes));
+		if (this.partial.mode == PartialResponse.Mode.STREAM) {
+			forwardEvents(ByteBufUtil.getBytes(bytes));
 		}
-		else if (this.form.mode == Form.Mode.WHOLE && !this.form.collect(bytes)) {
+		else if (this.partial.mode == PartialResponse.Mode.BUFFERED && !this.partial.collect(bytes)) {
 			abandon(AttemptEnd.BROKEN, Outcome.FAILED);
 		}
 	}
 
-	private void events(byte[] bytes) {
-		if (!this.form.frames.feed(bytes)) {
+	private void forwardEvents(byte[] bytes) {
+		if (!this.partial.parser.feed(bytes)) {
 			abandon(AttemptEnd.BROKEN, Outcome.FAILED);
 			return;
 		}
-		for (EventFrames.Event event = this.form.frames.next(); event != null; event = this.form.frames.next()) {
-			this.placed.streamBegan(this.heardAt - this.sentAt);
-			passOn(event);
+		for (ServerSentEventParser.Event event = this.partial.parser.next(); event != null; event = this.partial.parser
+			.next()) {
+			this.placed.streamBegan(this.lastActivityAt - this.sentAt);
+			forward(event);
 		}
 	}
 
-	private void passOn(EventFrames.Event event) {
-		OptionalLong last = this.exchange.lastEvent();
-		if (last.isPresent() && event.id().isPresent() && event.id().getAsLong() <= last.getAsLong()) {
+	private void forward(ServerSentEventParser.Event event) {
+		OptionalLong lastForwarded = this.exchange.lastEventId();
+		if (lastForwarded.isPresent() && event.id().isPresent()
+				&& event.id().getAsLong() <= lastForwarded.getAsLong()) {
 			return;
 		}
 		if (!this.exchange.response().isStarted()) {
-			this.exchange.firstPart();
-			this.exchange.response().startStream(this.form.status, this.form.headers);
+			this.exchange.responseStarted();
+			this.exchange.response().startStream(this.partial.status, this.partial.headers);
 		}
 		this.exchange.response().write(Unpooled.wrappedBuffer(event.bytes()));
-		this.exchange.passedOn(event.id());
+		this.exchange.eventForwarded(event.id());
 	}
 
 	@Override
 	public void readComplete() {
-		if (this.form.mode == Form.Mode.STREAM && this.exchange.response().isStarted()) {
+		if (this.partial.mode == PartialResponse.Mode.STREAM && this.exchange.response().isStarted()) {
 			this.exchange.response().flush();
 		}
 	}
 
 	@Override
-	public void ended(boolean reusable) {
+	public void responseComplete(boolean reusable) {
 		if (this.done) {
 			return;
 		}
 		if (reusable) {
-			this.exchange.context().links().release(this.endpoint, this.link);
+			this.exchange.context().connections().release(this.endpoint, this.connection);
 		}
-		switch (this.form.mode) {
-			case NOT_RUN -> notRun();
-			case STREAM -> streamEnded();
-			case WHOLE -> whole();
-			case NONE -> end(AttemptEnd.BROKEN, Outcome.LOST);
+		switch (this.partial.mode) {
+			case NOT_RUN -> endNotRun();
+			case STREAM -> endStream();
+			case BUFFERED -> endBuffered();
+			case NO_HEAD -> end(AttemptEnd.BROKEN, Outcome.LOST);
 		}
 	}
 
-	private void notRun() {
-		boolean leaving = this.form.status == WRONG_INSTANCE;
+	private void endNotRun() {
+		boolean leaving = this.partial.status == MISDIRECTED_REQUEST;
 		end(AttemptEnd.NOT_RUN, (leaving) ? Outcome.LEAVING : Outcome.FULL);
 	}
 
-	private void streamEnded() {
-		if (this.form.frames.isWithinEvent()) {
+	private void endStream() {
+		if (this.partial.parser.isWithinEvent()) {
 			end(AttemptEnd.BROKEN, Outcome.LOST);
 			return;
 		}
 		if (!this.exchange.response().isStarted()) {
-			this.exchange.response().startStream(this.form.status, this.form.headers);
+			this.exchange.response().startStream(this.partial.status, this.partial.headers);
 		}
-		settle(Outcome.GOOD);
+		finish(Outcome.GOOD);
 		this.exchange.endStream();
 	}
 
-	private void whole() {
-		RoutedExchange.WholeAnswer answer = new RoutedExchange.WholeAnswer(this.form.status, this.form.headers,
-				this.form.body.toByteArray());
-		int status = this.form.status;
+	private void endBuffered() {
+		RoutedExchange.BufferedResponse buffered = new RoutedExchange.BufferedResponse(this.partial.status,
+				this.partial.headers, this.partial.body.toByteArray());
+		int status = this.partial.status;
 		if (this.exchange.response().isStarted()) {
 			// A stream was to go on here, and this is none.
 			end(AttemptEnd.FAILED, Outcome.FAILED);
 		}
-		else if (isPromise(status)) {
+		else if (promisesNotRun(status)) {
 			// Passed on, the status would promise that the request was not run.
 			end(AttemptEnd.FAILED, Outcome.FAILED);
 		}
 		else if (status >= 500) {
-			this.exchange.keepFailure(answer);
+			this.exchange.keepFailureResponse(buffered);
 			end(AttemptEnd.FAILED, Outcome.FAILED);
 		}
 		else {
-			settle(Outcome.GOOD);
-			this.exchange.answer(answer);
+			finish(Outcome.GOOD);
+			this.exchange.respond(buffered);
 		}
 	}
 
-	private static boolean isPromise(int status) {
-		return status == 408 || status == WRONG_INSTANCE || status == 429 || status == 503;
+	private static boolean promisesNotRun(int status) {
+		return status == 408 || status == MISDIRECTED_REQUEST || status == 429 || status == 503;
 	}
 
 	@Override
-	public void broken() {
-		if (this.form.mode == Form.Mode.NONE) {
-			this.exchange.context().links().lost(this.endpoint, this.link, System.nanoTime() - this.sentAt);
+	public void connectionFailed() {
+		if (this.partial.mode == PartialResponse.Mode.NO_HEAD) {
+			this.exchange.context()
+				.connections()
+				.requestLost(this.endpoint, this.connection, System.nanoTime() - this.sentAt);
 		}
 		end(AttemptEnd.BROKEN, Outcome.LOST);
 	}
@@ -293,9 +298,11 @@
 	// A connection can go silent for good, and an endpoint can be cut off, without
 	// anything that TCP reports in time. Only a request that may run again is moved: any
 	// other one waits for its answer until its time is over.
-	private void watch(long nanos) {
+	private void scheduleSilenceCheck(long delayNanos) {
 		if (this.exchange.request().route().isIdempotent() && policy().isOn(RoutingMechanism.REPLACED_ATTEMPTS)) {
-			this.silence = this.exchange.context().loop().schedule(this::checkSilence, nanos, TimeUnit.NANOSECONDS);
+			this.silenceCheck = this.exchange.context()
+				.loop()
+				.schedule(this::checkSilence, delayNanos, TimeUnit.NANOSECONDS);
 		}
 	}
 
@@ -303,24 +310,24 @@
 		if (this.done) {
 			return;
 		}
-		long bound = silentAfterNanos();
-		long heard = this.heardAt;
-		if (isEngine()) {
-			heard = Math.max(heard, this.placed.heardAt());
+		long timeout = silenceTimeoutNanos();
+		long lastActivity = this.lastActivityAt;
+		if (isStreamRequest()) {
+			lastActivity = Math.max(lastActivity, this.placed.heardAt());
 		}
-		long silent = System.nanoTime() - heard;
-		if (silent < bound) {
-			watch(bound - silent);
+		long silent = System.nanoTime() - lastActivity;
+		if (silent < timeout) {
+			scheduleSilenceCheck(timeout - silent);
 		}
-		else if (this.exchange.mayReplace()) {
+		else if (this.exchange.mayReplaceAttempt()) {
 			abandon(AttemptEnd.SILENT, Outcome.LOST);
 		}
 		else {
-			watch(bound / 2);
+			scheduleSilenceCheck(timeout / 2);
 		}
 	}
 
-	private boolean isEngine() {
+	private boolean isStreamRequest() {
 		return this.exchange.request().route().kind() == RequestKind.STREAM;
 	}
 
@@ -328,41 +335,41 @@
 		return this.exchange.context().pools().policy();
 	}
 
-	private long silentAfterNanos() {
+	private long silenceTimeoutNanos() {
 		Route route = this.exchange.request().route();
-		if (!isEngine()) {
-			return SILENT_TARGETS * route.target().toNanos();
+		if (!isStreamRequest()) {
+			return SILENCE_TARGET_FACTOR * route.target().toNanos();
 		}
 		long millis = Math.round(policy().value(RoutingParameter.ENGINE_SILENCE));
 		if (!this.placed.isStreaming()) {
 			// With many entries each hears little of an engine that is busy with the
 			// prompts of the others: what waits there must not count as silence.
-			millis += this.placed.waitingWork() / TOKENS_PER_MILLI;
+			millis += this.placed.waitingWork() / PROMPT_TOKENS_PER_MILLI;
 		}
 		return TimeUnit.MILLISECONDS.toNanos(millis);
 	}
 
 	/** What the answer looks like, and what of it came so far. */
-	private static final class Form {
+	private static final class PartialResponse {
 
-		private final EventFrames frames = new EventFrames();
+		private final ServerSentEventParser parser = new ServerSentEventParser();
 
 		private final ByteArrayOutputStream body = new ByteArrayOutputStream(0);
 
-		private Mode mode = Mode.NONE;
+		private Mode mode = Mode.NO_HEAD;
 
 		private int status;
 
 		private HttpHeaders headers;
 
-		private void begin(Mode next, HttpResponse head) {
+		private void start(Mode next, HttpResponse head) {
 			this.mode = next;
 			this.status = head.status().code();
-			this.headers = HopHeaders.endToEnd(head.headers());
+			this.headers = HopByHopHeaders.endToEnd(head.headers());
 		}
 
 		private boolean collect(ByteBuf bytes) {
-			if (this.body.size() + bytes.readableBytes() > MAX_BODY) {
+			if (this.body.size() + bytes.readableBytes() > MAX_BODY_BYTES) {
 				return false;
 			}
 			this.body.writeBytes(ByteBufUtil.getBytes(bytes));
@@ -371,7 +378,7 @@
 
 		private enum Mode {
 
-			NONE, NOT_RUN, STREAM, WHOLE
+			NO_HEAD, NOT_RUN, STREAM, BUFFERED
 
 		}
 
--- a/daemon/src/main/java/org/acaciacourse/daemon/route/EndpointLink.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/route/EndpointConnection.java
@@ -27,36 +27,36 @@
  * <p>
  * Not thread safe: belongs to the event loop of the connection.
  */
-final class EndpointLink extends ChannelInboundHandlerAdapter {
+final class EndpointConnection extends ChannelInboundHandlerAdapter {
 
-	private final Consumer<EndpointLink> onGone;
+	private final Consumer<EndpointConnection> onClosed;
 
 	private Channel channel;
 
 	private Listener listener;
 
-	private ChannelFuture written;
+	private ChannelFuture requestWritten;
 
-	private boolean headSeen;
+	private boolean headReceived;
 
 	private boolean informational;
 
-	private boolean closeAfter;
+	private boolean closeAfterResponse;
 
-	private boolean reset;
+	private boolean connectionReset;
 
 	private long usableUntil = Long.MAX_VALUE;
 
 	private long idleSince = System.nanoTime();
 
-	private long rested;
+	private long idleNanosBeforeRequest;
 
 	/**
 	 * Make a link.
-	 * @param onGone called when the connection is closed
+	 * @param onClosed called when the connection is closed
 	 */
-	EndpointLink(Consumer<EndpointLink> onGone) {
-		this.onGone = onGone;
+	EndpointConnection(Consumer<EndpointConnection> onClosed) {
+		this.onClosed = onClosed;
 	}
 
 	@Override
@@ -78,7 +78,7 @@
 	 * @param now the time in nanoseconds
 	 * @param until until when it may be used
 	 */
-	void rest(long now, long until) {
+	void markIdle(long now, long until) {
 		this.idleSince = now;
 		this.usableUntil = until;
 	}
@@ -89,21 +89,21 @@
 	}
 
 	// How long it had been idle before the request that it serves.
-	long rested() {
-		return this.rested;
+	long idleNanosBeforeRequest() {
+		return this.idleNanosBeforeRequest;
 	}
 
 	/**
 	 * Send a request.
 	 * @param request the request, taken over
-	 * @param next gets what comes back
+	 * @param responseListener gets what comes back
 	 */
-	void send(FullHttpRequest request, Listener next) {
-		this.listener = next;
-		this.rested = System.nanoTime() - this.idleSince;
-		this.headSeen = false;
-		this.closeAfter = false;
-		this.written = this.channel.writeAndFlush(request);
+	void send(FullHttpRequest request, Listener responseListener) {
+		this.listener = responseListener;
+		this.idleNanosBeforeRequest = System.nanoTime() - this.idleSince;
+		this.headReceived = false;
+		this.closeAfterResponse = false;
+		this.requestWritten = this.channel.writeAndFlush(request);
 	}
 
 	/**
@@ -145,15 +145,15 @@
 		if (this.informational) {
 			return;
 		}
-		if (this.headSeen) {
+		if (this.headReceived) {
 			fail();
 			return;
 		}
-		this.headSeen = true;
+		this.headReceived = true;
 		boolean framed = HttpUtil.isTransferEncodingChunked(head)
 				|| head.headers().contains(HttpHeaderNames.CONTENT_LENGTH);
-		this.closeAfter = !framed || !HttpUtil.isKeepAlive(head);
-		this.listener.head(head);
+		this.closeAfterResponse = !framed || !HttpUtil.isKeepAlive(head);
+		this.listener.headReceived(head);
 	}
 
 	private void readContent(HttpContent content) {
@@ -163,7 +163,7 @@
 		}
 		ByteBuf bytes = content.content();
 		if (bytes.isReadable()) {
-			this.listener.content(bytes);
+			this.listener.contentReceived(bytes);
 		}
 		if (last && this.listener != null) {
 			finish();
@@ -171,19 +171,19 @@
 	}
 
 	private void finish() {
-		Listener ended = this.listener;
-		if (this.reset) {
+		Listener completed = this.listener;
+		if (this.connectionReset) {
 			fail();
 			return;
 		}
 		this.listener = null;
 		// An endpoint may answer before it has read the request to its end. The next
 		// request would then be written behind a rest that is still on its way.
-		boolean reusable = !this.closeAfter && this.written.isSuccess() && this.channel.isActive();
+		boolean reusable = !this.closeAfterResponse && this.requestWritten.isSuccess() && this.channel.isActive();
 		if (!reusable) {
 			this.channel.close();
 		}
-		ended.ended(reusable);
+		completed.responseComplete(reusable);
 	}
 
 	private void fail() {
@@ -191,7 +191,7 @@
 		this.listener = null;
 		this.channel.close();
 		if (failed != null) {
-			failed.broken();
+			failed.connectionFailed();
 		}
 	}
 
@@ -204,14 +204,14 @@
 
 	@Override
 	public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-		this.reset = true;
+		this.connectionReset = true;
 		fail();
 	}
 
 	@Override
 	public void channelInactive(ChannelHandlerContext ctx) {
 		fail();
-		this.onGone.accept(this);
+		this.onClosed.accept(this);
 	}
 
 	/**
@@ -224,13 +224,13 @@
 		 * The head of the answer.
 		 * @param head status and headers
 		 */
-		void head(HttpResponse head);
+		void headReceived(HttpResponse head);
 
 		/**
 		 * A part of the body.
 		 * @param bytes the bytes, valid during the call
 		 */
-		void content(ByteBuf bytes);
+		void contentReceived(ByteBuf bytes);
 
 		/**
 		 * All that came with one read was handed over.
@@ -241,12 +241,12 @@
 		 * The answer came to its end.
 		 * @param reusable whether the connection may serve another request
 		 */
-		void ended(boolean reusable);
+		void responseComplete(boolean reusable);
 
 		/**
 		 * The connection ended, or what came is no answer.
 		 */
-		void broken();
+		void connectionFailed();
 
 	}
 
--- /dev/null
+++ b/daemon/src/main/java/org/acaciacourse/daemon/route/EndpointConnections.java
@@ -0,0 +1,207 @@
+package org.acaciacourse.daemon.route;
+
+import java.net.InetSocketAddress;
+import java.util.ArrayDeque;
+import java.util.Deque;
+import java.util.HashMap;
+import java.util.Map;
+import java.util.Optional;
+import java.util.concurrent.TimeUnit;
+import java.util.function.Consumer;
+import java.util.function.Predicate;
+
+import io.netty.bootstrap.Bootstrap;
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelInitializer;
+import io.netty.channel.ChannelOption;
+import io.netty.channel.EventLoop;
+import io.netty.channel.socket.nio.NioChannelOption;
+import io.netty.channel.socket.nio.NioSocketChannel;
+import io.netty.handler.codec.http.HttpClientCodec;
+import io.vavr.control.Try;
+import jdk.net.ExtendedSocketOptions;
+import org.acaciacourse.core.balance.IdleLimit;
+import org.acaciacourse.core.route.FleetEndpoint;
+import org.acaciacourse.daemon.inner.InnerConnection;
+
+/**
+ * The connections to the endpoints, kept by instance: an address may belong to another
+ * instance tomorrow, and a connection that went to the one before must not serve it.
+ * Invariant: an idle connection is in one list and serves nobody.
+ * <p>
+ * Not thread safe: belongs to one event loop.
+ */
+final class EndpointConnections {
+
+	/**
+	 * A SYN or its answer takes milliseconds; one that was dropped is sent again after a
+	 * second.
+	 */
+	private static final int CONNECT_TIMEOUT_MILLIS = 600;
+
+	/**
+	 * How long an idle connection is used when its endpoint does not tell how long it
+	 * keeps it. Shorter than the idle timeouts of common servers.
+	 */
+	private static final long DEFAULT_IDLE_NANOS = TimeUnit.SECONDS.toNanos(4);
+
+	/**
+	 * An idle connection is not used in the last part of the time that its endpoint told.
+	 */
+	private static final double IDLE_TIMEOUT_SHARE = 0.8;
+
+	/** With three probes a second apart a dead peer is found within four seconds. */
+	private static final int KEEPALIVE_SECONDS = 1;
+
+	private static final int KEEPALIVE_PROBES = 3;
+
+	private static final int MAX_INITIAL_LINE_BYTES = 4 * 1024;
+
+	private static final int MAX_HEADER_BYTES = 32 * 1024;
+
+	private static final int MAX_CHUNK_BYTES = 64 * 1024;
+
+	private final EventLoop loop;
+
+	private final Map<String, Deque<EndpointConnection>> idleConnections = new HashMap<>();
+
+	private final Map<String, Long> idleTimeoutNanos = new HashMap<>();
+
+	private final Map<String, IdleLimit> idleLimits = new HashMap<>();
+
+	EndpointConnections(EventLoop loop) {
+		this.loop = loop;
+	}
+
+	/**
+	 * Get a connection: an idle one, the latest used first, or a new one.
+	 * @param endpoint the endpoint
+	 * @param onReady gets the connection, or why there is none; possibly within this call
+	 */
+	void acquire(FleetEndpoint endpoint, Consumer<Try<EndpointConnection>> onReady) {
+		Optional<EndpointConnection> idle = takeIdle(endpoint);
+		if (idle.isPresent()) {
+			onReady.accept(Try.success(idle.get()));
+		}
+		else {
+			connect(endpoint, onReady);
+		}
+	}
+
+	private void connect(FleetEndpoint endpoint, Consumer<Try<EndpointConnection>> onReady) {
+		EndpointConnection connection = new EndpointConnection((closed) -> remove(endpoint.instance(), closed));
+		Bootstrap bootstrap = new Bootstrap().group(this.loop)
+			.channel(NioSocketChannel.class)
+			.option(ChannelOption.TCP_NODELAY, true)
+			.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
+			.option(ChannelOption.SO_KEEPALIVE, true)
+			.option(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPIDLE), KEEPALIVE_SECONDS)
+			.option(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPINTERVAL), KEEPALIVE_SECONDS)
+			.option(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPCOUNT), KEEPALIVE_PROBES)
+			.handler(new ChannelInitializer<Channel>() {
+
+				@Override
+				protected void initChannel(Channel channel) {
+					channel.pipeline()
+						.addLast(new HttpClientCodec(MAX_INITIAL_LINE_BYTES, MAX_HEADER_BYTES, MAX_CHUNK_BYTES));
+					channel.pipeline().addLast(connection);
+				}
+
+			});
+		InetSocketAddress address = InnerConnection.parse(endpoint.address());
+		bootstrap.connect(address)
+			.addListener((future) -> onReady
+				.accept((future.isSuccess()) ? Try.success(connection) : Try.failure(future.cause())));
+	}
+
+	private Optional<EndpointConnection> takeIdle(FleetEndpoint endpoint) {
+		Deque<EndpointConnection> connections = this.idleConnections.get(endpoint.instance());
+		long now = System.nanoTime();
+		long maxIdleNanos = idleLimit(endpoint.pool()).limit(now);
+		while (connections != null && !connections.isEmpty()) {
+			EndpointConnection connection = connections.pollLast();
+			if (connection.isUsable(now) && connection.idleNanos(now) < maxIdleNanos) {
+				return Optional.of(connection);
+			}
+			connection.abandon();
+		}
+		return Optional.empty();
+	}
+
+	/**
+	 * Take a connection back whose answer was received to its end.
+	 * @param endpoint its endpoint
+	 * @param connection the connection
+	 */
+	void release(FleetEndpoint endpoint, EndpointConnection connection) {
+		long now = System.nanoTime();
+		connection.markIdle(now, now + this.idleTimeoutNanos.getOrDefault(endpoint.instance(), DEFAULT_IDLE_NANOS));
+		this.idleConnections.computeIfAbsent(endpoint.instance(), (instance) -> new ArrayDeque<>()).addLast(connection);
+	}
+
+	/**
+	 * Note how long an endpoint keeps idle connections.
+	 * @param endpoint the endpoint
+	 * @param seconds the time that it told
+	 */
+	void setIdleTimeout(FleetEndpoint endpoint, int seconds) {
+		this.idleTimeoutNanos.put(endpoint.instance(), (long) (TimeUnit.SECONDS.toNanos(seconds) * IDLE_TIMEOUT_SHARE));
+	}
+
+	/**
+	 * A request was lost without any answer.
+	 * @param endpoint its endpoint
+	 * @param connection the connection that it was sent over
+	 * @param tookNanos nanoseconds from the request to the loss
+	 */
+	void requestLost(FleetEndpoint endpoint, EndpointConnection connection, long tookNanos) {
+		idleLimit(endpoint.pool()).lost(connection.idleNanosBeforeRequest(), tookNanos, System.nanoTime());
+	}
+
+	private IdleLimit idleLimit(String pool) {
+		return this.idleLimits.computeIfAbsent(pool, (name) -> new IdleLimit());
+	}
+
+	/**
+	 * Return whether a request can be sent without a new connection.
+	 * @param instance the endpoint's instance
+	 * @return whether an idle connection is kept
+	 */
+	boolean hasIdle(String instance) {
+		Deque<EndpointConnection> connections = this.idleConnections.get(instance);
+		return connections != null && !connections.isEmpty();
+	}
+
+	int idleCount() {
+		return this.idleConnections.values().stream().mapToInt(Deque::size).sum();
+	}
+
+	private void remove(String instance, EndpointConnection connection) {
+		Deque<EndpointConnection> connections = this.idleConnections.get(instance);
+		if (connections != null) {
+			connections.remove(connection);
+		}
+	}
+
+	/**
+	 * Close the idle connections to endpoints that are gone, and those whose time is
+	 * over.
+	 * @param isInFleet tells whether an instance is in the fleet
+	 */
+	void sweep(Predicate<String> isInFleet) {
+		long now = System.nanoTime();
+		this.idleTimeoutNanos.keySet().removeIf((instance) -> !isInFleet.test(instance));
+		this.idleConnections.entrySet().removeIf((entry) -> {
+			boolean inFleet = isInFleet.test(entry.getKey());
+			entry.getValue().removeIf((connection) -> {
+				boolean drop = !inFleet || !connection.isUsable(now);
+				if (drop) {
+					connection.abandon();
+				}
+				return drop;
+			});
+			return !inFleet;
+		});
+	}
+
+}
--- a/daemon/src/main/java/org/acaciacourse/daemon/route/FleetFallback.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/route/FleetFallback.java
@@ -27,11 +27,11 @@
 	 * After how long without word from control. An endpoint that is leaving takes
 	 * requests for 3 s after the list shows it, which the list does some 0.8 s late.
 	 */
-	private static final long SILENT_NANOS = TimeUnit.MILLISECONDS.toNanos(1_600);
+	private static final long CONTROL_SILENCE_NANOS = TimeUnit.MILLISECONDS.toNanos(1_600);
 
-	private static final long CHECK_MILLIS = 400;
+	private static final long CHECK_INTERVAL_MILLIS = 400;
 
-	private static final long PERIOD_MILLIS = 1_000;
+	private static final long READ_INTERVAL_MILLIS = 1_000;
 
 	private final FleetSource source;
 
@@ -39,7 +39,7 @@
 
 	private final CountDownLatch closed = new CountDownLatch(1);
 
-	private volatile boolean lost;
+	private volatile boolean controlLost;
 
 	private volatile long confirmedAt = System.nanoTime();
 
@@ -58,22 +58,22 @@
 	 * A control VM told the fleet.
 	 * @param fleet the fleet
 	 */
-	void confirmed(Fleet fleet) {
+	void fleetConfirmed(Fleet fleet) {
 		this.confirmedAt = System.nanoTime();
-		if (this.lost) {
-			this.lost = false;
+		if (this.controlLost) {
+			this.controlLost = false;
 			DecisionLog.write(LogEvent.CONTROL_REGAINED, Long.toHexString(fleet.revision()));
 		}
 	}
 
 	private void run() {
 		try {
-			while (!this.closed.await(CHECK_MILLIS, TimeUnit.MILLISECONDS)) {
-				long silent = System.nanoTime() - this.confirmedAt;
-				if (silent > SILENT_NANOS) {
-					tellLost(silent);
-					read();
-					this.closed.await(PERIOD_MILLIS, TimeUnit.MILLISECONDS);
+			while (!this.closed.await(CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS)) {
+				long silentNanos = System.nanoTime() - this.confirmedAt;
+				if (silentNanos > CONTROL_SILENCE_NANOS) {
+					logControlLost(silentNanos);
+					readFleet();
+					this.closed.await(READ_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
 				}
 			}
 		}
@@ -82,14 +82,14 @@
 		}
 	}
 
-	private void tellLost(long silent) {
-		if (!this.lost) {
-			this.lost = true;
-			DecisionLog.write(LogEvent.CONTROL_LOST, TimeUnit.NANOSECONDS.toMillis(silent));
+	private void logControlLost(long silentNanos) {
+		if (!this.controlLost) {
+			this.controlLost = true;
+			DecisionLog.write(LogEvent.CONTROL_LOST, TimeUnit.NANOSECONDS.toMillis(silentNanos));
 		}
 	}
 
-	private void read() throws InterruptedException {
+	private void readFleet() throws InterruptedException {
 		try {
 			this.onFleet.accept(this.source.read());
 		}
--- a/daemon/src/main/java/org/acaciacourse/daemon/route/EarlyRequests.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/route/HeldRequests.java
@@ -18,24 +18,24 @@
  * <p>
  * Not thread safe: belongs to the event loop.
  */
-final class EarlyRequests {
+final class HeldRequests {
 
 	/** A control VM is found and the newest configuration known within this time. */
-	private static final long MOST_MILLIS = 1_500;
+	private static final long MAX_HOLD_MILLIS = 1_500;
 
 	/** As a part of the time that the caller waits, so that it can still come back. */
-	private static final int PATIENCE_SHARE = 3;
+	private static final int CALLER_TIMEOUT_DIVISOR = 3;
 
 	/**
 	 * Bounds the memory; more than come to a VM in that time at ten times the usual load.
 	 */
-	private static final int MOST_REQUESTS = 500;
+	private static final int MAX_HELD_REQUESTS = 500;
 
-	private final List<Early> waiting = new ArrayList<>();
+	private final List<HeldRequest> held = new ArrayList<>();
 
 	private final EventLoop loop;
 
-	EarlyRequests(EventLoop loop) {
+	HeldRequests(EventLoop loop) {
 		this.loop = loop;
 	}
 
@@ -43,24 +43,24 @@
 	 * Hold a request.
 	 * @param request the request
 	 * @param response takes its answer
-	 * @param patienceMillis how long its caller waits
+	 * @param callerTimeoutMillis how long its caller waits
 	 * @param refuse refuses it once it was held for too long
 	 * @return false if too many are held already
 	 */
-	boolean hold(CallerRequest request, CallerResponse response, long patienceMillis, Runnable refuse) {
-		if (this.waiting.size() >= MOST_REQUESTS) {
+	boolean hold(CallerRequest request, CallerResponse response, long callerTimeoutMillis, Runnable refuse) {
+		if (this.held.size() >= MAX_HELD_REQUESTS) {
 			return false;
 		}
-		Early early = new Early(request, response);
-		early.timeout = this.loop.schedule(() -> {
-			this.waiting.remove(early);
+		HeldRequest heldRequest = new HeldRequest(request, response);
+		heldRequest.timeout = this.loop.schedule(() -> {
+			this.held.remove(heldRequest);
 			refuse.run();
-		}, Math.min(MOST_MILLIS, patienceMillis / PATIENCE_SHARE), TimeUnit.MILLISECONDS);
+		}, Math.min(MAX_HOLD_MILLIS, callerTimeoutMillis / CALLER_TIMEOUT_DIVISOR), TimeUnit.MILLISECONDS);
 		response.onGone(() -> {
-			early.timeout.cancel(false);
-			this.waiting.remove(early);
+			heldRequest.timeout.cancel(false);
+			this.held.remove(heldRequest);
 		});
-		this.waiting.add(early);
+		this.held.add(heldRequest);
 		return true;
 	}
 
@@ -68,17 +68,17 @@
 	 * Hand all held requests on, in the order in which they came.
 	 * @param handler gets each request
 	 */
-	void release(Consumer<Early> handler) {
-		List<Early> all = List.copyOf(this.waiting);
-		this.waiting.clear();
-		all.forEach((early) -> {
-			early.timeout.cancel(false);
-			handler.accept(early);
+	void release(Consumer<HeldRequest> handler) {
+		List<HeldRequest> all = List.copyOf(this.held);
+		this.held.clear();
+		all.forEach((heldRequest) -> {
+			heldRequest.timeout.cancel(false);
+			handler.accept(heldRequest);
 		});
 	}
 
 	/** A request that came too early. */
-	static final class Early {
+	static final class HeldRequest {
 
 		private final CallerRequest request;
 
@@ -89,7 +89,7 @@
 
 		private ScheduledFuture<?> timeout;
 
-		private Early(CallerRequest request, CallerResponse response) {
+		private HeldRequest(CallerRequest request, CallerResponse response) {
 			this.request = request;
 			this.response = response;
 		}
--- a/daemon/src/main/java/org/acaciacourse/daemon/route/HopHeaders.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/route/HopByHopHeaders.java
@@ -14,14 +14,14 @@
  * <p>
  * Thread safe: it has no state.
  */
-final class HopHeaders {
+final class HopByHopHeaders {
 
 	/** Lengths and encodings are written anew for each connection. */
-	private static final Set<String> OF_A_HOP = Set.of("connection", "keep-alive", "proxy-connection",
+	private static final Set<String> HOP_BY_HOP = Set.of("connection", "keep-alive", "proxy-connection",
 			"proxy-authenticate", "proxy-authorization", "te", "trailer", "transfer-encoding", "upgrade",
 			"content-length", "expect");
 
-	private HopHeaders() {
+	private HopByHopHeaders() {
 	}
 
 	/**
@@ -30,14 +30,14 @@
 	 * @return a copy without those of the connection and those that it names
 	 */
 	static HttpHeaders endToEnd(HttpHeaders headers) {
-		Set<String> named = new TreeSet<>(String.CASE_INSENSITIVE_ORDER);
+		Set<String> listedInConnection = new TreeSet<>(String.CASE_INSENSITIVE_ORDER);
 		for (String value : headers.getAll("connection")) {
-			named.addAll(CommaList.split(value));
+			listedInConnection.addAll(CommaList.split(value));
 		}
 		HttpHeaders copy = new DefaultHttpHeaders();
 		for (Map.Entry<String, String> header : headers) {
 			String name = header.getKey();
-			if (!named.contains(name) && !OF_A_HOP.contains(name.toLowerCase(Locale.ROOT))) {
+			if (!listedInConnection.contains(name) && !HOP_BY_HOP.contains(name.toLowerCase(Locale.ROOT))) {
 				copy.add(name, header.getValue());
 			}
 		}
--- a/daemon/src/main/java/org/acaciacourse/daemon/route/LoadGossip.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/route/LoadGossip.java
@@ -41,7 +41,7 @@
 	private static final Logger logger = LogManager.getLogger(LoadGossip.class);
 
 	/** Whoever sends datagrams that are no digests may send many. */
-	private static final int DROPPED_LINES_PER_SECOND = 1;
+	private static final int MAX_DROP_LINES_PER_SECOND = 1;
 
 	private final EventLoop loop;
 
@@ -53,7 +53,7 @@
 
 	private final Map<String, InetSocketAddress> addresses = new HashMap<>();
 
-	private final LineBudget droppedLines = new LineBudget(DROPPED_LINES_PER_SECOND, System.nanoTime());
+	private final LineBudget dropLogLimiter = new LineBudget(MAX_DROP_LINES_PER_SECOND, System.nanoTime());
 
 	private Optional<String> relay = Optional.empty();
 
@@ -113,11 +113,11 @@
 			return;
 		}
 		long now = System.nanoTime();
-		if (isOn()) {
+		if (isEnabled()) {
 			this.exchange.mostDirect((int) this.pools.policy().value(RoutingParameter.MOST_DIRECT_PEERS));
-			this.exchange.tick(this.pools.own(), this.pools.takeUntoldUses(), now).forEach(this::send);
+			this.exchange.tick(this.pools.localLoads(), this.pools.drainUnreportedUses(), now).forEach(this::send);
 			this.channel.flush();
-			tellRelay();
+			logRelayChange();
 		}
 		else {
 			this.pools.peers().forgetSilent(now);
@@ -125,7 +125,7 @@
 		schedule();
 	}
 
-	private void tellRelay() {
+	private void logRelayChange() {
 		Optional<String> next = this.exchange.relay();
 		if (!next.equals(this.relay)) {
 			DecisionLog.write(LogEvent.LOAD_RELAY, next.orElse(""), this.relay.orElse(""));
@@ -136,37 +136,37 @@
 	private void send(LoadExchange.Outgoing message) {
 		byte[] bytes = LoadDigestCodec.encode(message.digest());
 		message.receivers()
-			.forEach((peer) -> this.channel.write(new DatagramPacket(Unpooled.wrappedBuffer(bytes), resolved(peer))));
+			.forEach((peer) -> this.channel.write(new DatagramPacket(Unpooled.wrappedBuffer(bytes), resolve(peer))));
 	}
 
-	private InetSocketAddress resolved(String peer) {
+	private InetSocketAddress resolve(String peer) {
 		return this.addresses.computeIfAbsent(peer, InnerConnection::parse);
 	}
 
 	@Override
 	protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
-		if (!isOn()) {
+		if (!isEnabled()) {
 			return;
 		}
 		LoadDigestCodec.decode(ByteBufUtil.getBytes(packet.content()))
-			.andThen((digest) -> take(InnerConnection.format(packet.sender()), digest))
-			.onFailure((ex) -> tellDropped(packet.sender(), ex));
+			.andThen((digest) -> receive(InnerConnection.format(packet.sender()), digest))
+			.onFailure((ex) -> logDropped(packet.sender(), ex));
 	}
 
-	private boolean isOn() {
+	private boolean isEnabled() {
 		return this.pools.policy().isOn(RoutingMechanism.LOAD_DIGESTS);
 	}
 
-	private void take(String sender, LoadDigest digest) {
+	private void receive(String sender, LoadDigest digest) {
 		if (this.exchange.take(sender, digest, System.nanoTime())) {
-			digest.uses().forEach(this.pools::toldUse);
+			digest.uses().forEach(this.pools::recordPeerUse);
 		}
 	}
 
-	private void tellDropped(InetSocketAddress sender, Throwable cause) {
-		this.droppedLines.next(System.nanoTime())
-			.ifPresent((untold) -> logger.warn("a datagram from {} is no digest of load ({} more before it): {}",
-					sender, untold, String.valueOf(cause)));
+	private void logDropped(InetSocketAddress sender, Throwable cause) {
+		this.dropLogLimiter.next(System.nanoTime())
+			.ifPresent((suppressed) -> logger.warn("a datagram from {} is no digest of load ({} more before it): {}",
+					sender, suppressed, String.valueOf(cause)));
 	}
 
 	@Override
--- a/daemon/src/main/java/org/acaciacourse/daemon/route/PoolQueue.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/route/PoolQueue.java
@@ -17,13 +17,13 @@
 	 * An engine reads a thousand tokens in this time; more often finds little that is
 	 * new.
 	 */
-	private static final long STEP_MILLIS = 15;
+	private static final long PLACEMENT_INTERVAL_MILLIS = 15;
 
 	/**
 	 * After so many requests that find no place the rest waits for the next step: it is
 	 * less urgent, and the choice takes time.
 	 */
-	private static final int MOST_MISSES = 6;
+	private static final int MAX_MISSES = 6;
 
 	private final PlacementQueue<RoutedExchange> waiting = new PlacementQueue<>();
 
@@ -37,7 +37,7 @@
 
 	void add(RoutedExchange exchange, int urgency, long dueAt) {
 		this.waiting.add(exchange, urgency, dueAt);
-		offer();
+		placeWaiting();
 	}
 
 	void remove(RoutedExchange exchange) {
@@ -48,23 +48,23 @@
 		return this.waiting.size();
 	}
 
-	private void offer() {
+	private void placeWaiting() {
 		int misses = 0;
 		for (RoutedExchange exchange : this.waiting.inOrder()) {
-			if (misses >= MOST_MISSES) {
+			if (misses >= MAX_MISSES) {
 				break;
 			}
-			misses += (exchange.place()) ? 0 : 1;
+			misses += (exchange.tryPlace()) ? 0 : 1;
 		}
 		if (this.waiting.size() > 0 && !this.scheduled) {
 			this.scheduled = true;
-			this.loop.schedule(this::step, STEP_MILLIS, TimeUnit.MILLISECONDS);
+			this.loop.schedule(this::runScheduled, PLACEMENT_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
 		}
 	}
 
-	private void step() {
+	private void runScheduled() {
 		this.scheduled = false;
-		offer();
+		placeWaiting();
 	}
 
 }
--- a/daemon/src/main/java/org/acaciacourse/daemon/route/PoolStates.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/route/PoolStates.java
@@ -41,9 +41,9 @@
 
 	private final EventLoop loop;
 
-	private final RetryRule rule;
+	private final RetryRule retryBudget;
 
-	private final Predicate<String> connected;
+	private final Predicate<String> hasIdleConnection;
 
 	private final Map<String, State> states = new HashMap<>();
 
@@ -53,30 +53,30 @@
 
 	private Set<String> instances = Set.of();
 
-	private List<Pool> declared = List.of();
+	private List<Pool> declaredPools = List.of();
 
 	private final long startedAt = System.nanoTime();
 
-	private final SharerCount counted = new SharerCount();
+	private final SharerCount sharerCount = new SharerCount();
 
 	private long countedAt = this.startedAt;
 
 	private OptionalInt sharers = OptionalInt.empty();
 
-	private long number;
+	private long tableNumber;
 
 	private RoutingPolicy policy = RoutingPolicy.DEFAULT;
 
 	/**
 	 * Make the states.
 	 * @param loop the event loop
-	 * @param rule the retry budget
-	 * @param connected tells whether an idle connection to an instance is kept
+	 * @param retryBudget the retry budget
+	 * @param hasIdleConnection tells whether an idle connection to an instance is kept
 	 */
-	PoolStates(EventLoop loop, RetryRule rule, Predicate<String> connected) {
+	PoolStates(EventLoop loop, RetryRule retryBudget, Predicate<String> hasIdleConnection) {
 		this.loop = loop;
-		this.rule = rule;
-		this.connected = connected;
+		this.retryBudget = retryBudget;
+		this.hasIdleConnection = hasIdleConnection;
 	}
 
 	/**
@@ -84,13 +84,13 @@
 	 * @param table the table in force
 	 */
 	void table(RouteTable table) {
-		this.number = table.number();
-		this.declared = table.pools();
-		share();
-		this.declared.stream().filter(Pool::isEngine).forEach((pool) -> {
+		this.tableNumber = table.number();
+		this.declaredPools = table.pools();
+		applySharers();
+		this.declaredPools.stream().filter(Pool::isEngine).forEach((pool) -> {
 			state(pool.name()).balancer().engineTokens(pool.engineTokens());
 			Optional<Duration> shortest = table.shortestTarget(pool.name());
-			shortest.ifPresent((target) -> state(pool.name()).target(target));
+			shortest.ifPresent((target) -> state(pool.name()).setShortestTarget(target));
 			table.shortestGap(pool.name())
 				.ifPresent((gap) -> state(pool.name()).balancer().shortestGap(gap.toMillis()));
 		});
@@ -116,15 +116,15 @@
 	void fleet(Fleet next) {
 		this.fleet = next;
 		Map<String, List<FleetEndpoint>> byPool = new HashMap<>();
-		Set<String> there = new HashSet<>();
+		Set<String> present = new HashSet<>();
 		next.endpoints().forEach((endpoint) -> {
 			byPool.computeIfAbsent(endpoint.pool(), (pool) -> new ArrayList<>()).add(endpoint);
-			there.add(endpoint.instance());
+			present.add(endpoint.instance());
 		});
-		this.instances = there;
+		this.instances = present;
 		byPool.keySet().forEach(this::state);
 		this.states.forEach((pool, state) -> state.balancer().endpoints(byPool.getOrDefault(pool, List.of())));
-		share();
+		applySharers();
 	}
 
 	Fleet fleet() {
@@ -132,8 +132,8 @@
 	}
 
 	// The number of the table in force, 0 before the first one.
-	long number() {
-		return this.number;
+	long tableNumber() {
+		return this.tableNumber;
 	}
 
 	PeerLoads peers() {
@@ -144,7 +144,7 @@
 	 * Return what this VM has under way at the endpoints of all pools.
 	 * @return the loads
 	 */
-	List<PeerLoads.Load> own() {
+	List<PeerLoads.Load> localLoads() {
 		List<PeerLoads.Load> all = new ArrayList<>();
 		this.states.values().forEach((state) -> all.addAll(state.balancer().own()));
 		return all;
@@ -154,7 +154,7 @@
 	 * Take the uses of prompt parts that the other entry VMs do not know of yet.
 	 * @return those of all pools since the last call
 	 */
-	List<PartUse> takeUntoldUses() {
+	List<PartUse> drainUnreportedUses() {
 		return this.states.values().stream().flatMap((state) -> state.balancer().takeUntold().stream()).toList();
 	}
 
@@ -162,7 +162,7 @@
 	 * Another entry VM had an endpoint use a part of a prompt.
 	 * @param use what it tells
 	 */
-	void toldUse(PartUse use) {
+	void recordPeerUse(PartUse use) {
 		this.states.values().forEach((state) -> state.balancer().told(use));
 	}
 
@@ -170,21 +170,21 @@
 	 * Control told how many entry VMs share budgets and connections.
 	 * @param count the number of VMs
 	 */
-	void entries(int count) {
+	void updateEntryCount(int count) {
 		this.countedAt = System.nanoTime();
-		this.counted.told(count, this.countedAt);
-		recount();
+		this.sharerCount.told(count, this.countedAt);
+		refreshSharers();
 	}
 
 	/** Control told the same number of entry VMs again. */
-	void entriesConfirmed() {
-		entries(this.counted.latest());
+	void confirmEntryCount() {
+		updateEntryCount(this.sharerCount.latest());
 	}
 
 	// Called again and again, as the number falls or is forgotten with time.
-	void recount() {
-		this.sharers = this.counted.sharers(System.nanoTime());
-		share();
+	void refreshSharers() {
+		this.sharers = this.sharerCount.sharers(System.nanoTime());
+		applySharers();
 	}
 
 	/**
@@ -198,19 +198,19 @@
 	}
 
 	/** Tell the pools that are divided otherwise than before; called again and again. */
-	void tellDivisions() {
+	void logDivisions() {
 		this.states.forEach((pool, state) -> state.balancer().division().ifPresent((next) -> {
-			if (next.engines() != state.toldEngines && this.declared(pool).map(Pool::isEngine).orElse(false)) {
-				state.toldEngines = next.engines();
+			if (next.engines() != state.loggedEngines && this.declaredPool(pool).map(Pool::isEngine).orElse(false)) {
+				state.loggedEngines = next.engines();
 				DecisionLog.write(LogEvent.DIVISION, pool, next.engines(), next.running(), next.waitingWork());
 			}
 		}));
 	}
 
-	private void share() {
+	private void applySharers() {
 		this.states.values().forEach((state) -> state.allowance().sharers(this.sharers));
-		int entries = Math.max(1, this.counted.highest());
-		this.declared.forEach((pool) -> state(pool.name()).balancer()
+		int entries = Math.max(1, this.sharerCount.highest());
+		this.declaredPools.forEach((pool) -> state(pool.name()).balancer()
 			.connectionsEach((int) (pool.maxConnections() * CONNECTION_SHARE / entries)));
 	}
 
@@ -221,10 +221,10 @@
 	 */
 	State state(String pool) {
 		return this.states.computeIfAbsent(pool, (name) -> {
-			RetryAllowance allowance = new RetryAllowance(this.startedAt, this.rule.window().toNanos(),
-					this.rule.ratio(), this.rule.minimum());
+			RetryAllowance allowance = new RetryAllowance(this.startedAt, this.retryBudget.window().toNanos(),
+					this.retryBudget.ratio(), this.retryBudget.minimum());
 			allowance.sharers(this.sharers);
-			PoolBalancer balancer = new PoolBalancer(this.peers, this.connected);
+			PoolBalancer balancer = new PoolBalancer(this.peers, this.hasIdleConnection);
 			balancer.policy(this.policy);
 			return new State(balancer, allowance, new PoolQueue(this.loop));
 		});
@@ -244,11 +244,11 @@
 		return gauges;
 	}
 
-	Optional<Pool> declared(String pool) {
-		return this.declared.stream().filter((p) -> p.name().equals(pool)).findFirst();
+	Optional<Pool> declaredPool(String pool) {
+		return this.declaredPools.stream().filter((p) -> p.name().equals(pool)).findFirst();
 	}
 
-	boolean isThere(String instance) {
+	boolean isInFleet(String instance) {
 		return this.instances.contains(instance);
 	}
 
@@ -256,11 +256,11 @@
 	 * By how many VMs the retry budgets are divided.
 	 *
 	 * @param vms the number of VMs, 0 while it is not known
-	 * @param age how long ago control told the number of entries, or the time since the
-	 * start if it never did
-	 * @param running the time since this process began to keep account
+	 * @param countAge how long ago control told the number of entries, or the time since
+	 * the start if it never did
+	 * @param uptime the time since this process began to keep account
 	 */
-	record Sharing(int vms, Duration age, Duration running) {
+	record Sharing(int vms, Duration countAge, Duration uptime) {
 	}
 
 	/**
@@ -276,7 +276,7 @@
 
 		private Duration shortestTarget = Duration.ZERO;
 
-		private int toldEngines;
+		private int loggedEngines;
 
 		private State(PoolBalancer balancer, RetryAllowance allowance, PoolQueue queue) {
 			this.balancer = balancer;
@@ -284,7 +284,7 @@
 			this.queue = queue;
 		}
 
-		private void target(Duration shortest) {
+		private void setShortestTarget(Duration shortest) {
 			this.shortestTarget = shortest;
 		}
 
--- a/daemon/src/main/java/org/acaciacourse/daemon/route/RequestDialect.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/route/RequestDialect.java
@@ -56,11 +56,11 @@
 	 *
 	 * @param id its id, empty if it has none
 	 * @param key the customer's key, if there is one
-	 * @param patienceMillis how long the caller will wait, in milliseconds
-	 * @param lastEvent the id of the last event that the caller has, if it resumes
+	 * @param callerTimeoutMillis how long the caller will wait, in milliseconds
+	 * @param lastEventId the id of the last event that the caller has, if it resumes
 	 * @param prompt the prompt
 	 */
-	record RequestFacts(String id, Optional<String> key, OptionalLong patienceMillis, OptionalLong lastEvent,
+	record RequestFacts(String id, Optional<String> key, OptionalLong callerTimeoutMillis, OptionalLong lastEventId,
 			PromptShape prompt) {
 	}
 
@@ -86,11 +86,11 @@
 	 * @param sealed whether it bears the endpoint's seal
 	 * @param notRun whether it states that the request was not run
 	 * @param load the load, if it is told
-	 * @param idleSeconds for how long the endpoint keeps the connection idle, if it is
-	 * told
+	 * @param idleTimeoutSeconds for how long the endpoint keeps the connection idle, if
+	 * it is told
 	 */
 	record AnswerFacts(String requestId, boolean sealed, boolean notRun, Optional<LoadFacts> load,
-			OptionalInt idleSeconds) {
+			OptionalInt idleTimeoutSeconds) {
 	}
 
 	/**
--- a/daemon/src/main/java/org/acaciacourse/daemon/route/RouteContext.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/route/RouteContext.java
@@ -12,12 +12,12 @@
  *
  * @param loop the event loop of all requests and connections
  * @param dialect reads and writes headers
- * @param links the connections to the endpoints
+ * @param connections the connections to the endpoints
  * @param pools what is known of the pools
  * @param metrics counts the ends of requests
- * @param open the requests that are not ended
- * @param lateLines bounds the lines on late answers
+ * @param openExchanges the requests that are not ended
+ * @param lateLogLimiter bounds the lines on late answers
  */
-record RouteContext(EventLoop loop, RequestDialect dialect, EndpointLinks links, PoolStates pools, RouteMetrics metrics,
-		Set<RoutedExchange> open, LineBudget lateLines) {
+record RouteContext(EventLoop loop, RequestDialect dialect, EndpointConnections connections, PoolStates pools,
+		RouteMetrics metrics, Set<RoutedExchange> openExchanges, LineBudget lateLogLimiter) {
 }
--- a/daemon/src/main/java/org/acaciacourse/daemon/route/RouteDaemon.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/route/RouteDaemon.java
@@ -53,41 +53,41 @@
 
 	private static final Logger logger = LogManager.getLogger(RouteDaemon.class);
 
-	private static final long SWEEP_MILLIS = 1_000;
+	private static final long SWEEP_INTERVAL_MILLIS = 1_000;
 
 	/**
 	 * When health and metrics are shown, from the start on: after a loss of power callers
 	 * wait for the processor time that their server takes.
 	 */
-	private static final long ADMIN_MILLIS = 1_000;
+	private static final long ADMIN_DELAY_MILLIS = 1_000;
 
 	/** As many as an entry has usual requests. */
-	private static final int LATE_LINES_PER_SECOND = 10;
+	private static final int MAX_LATE_LINES_PER_SECOND = 10;
 
 	private static final Duration READ_TIMEOUT = Duration.ofSeconds(20);
 
-	private final EventLoopGroup loops = new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("io"),
+	private final EventLoopGroup eventLoops = new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("io"),
 			NioIoHandler.newFactory());
 
-	private final EventLoop loop = this.loops.next();
+	private final EventLoop loop = this.eventLoops.next();
 
-	private final Set<RoutedExchange> open = new HashSet<>();
+	private final Set<RoutedExchange> openExchanges = new HashSet<>();
 
 	private final RouteOptions options;
 
-	private final ControlLink link;
+	private final ControlLink controlLink;
 
 	private final PoolStates pools;
 
-	private final EndpointLinks links;
+	private final EndpointConnections connections;
 
 	private final RouteMetrics metrics = new RouteMetrics();
 
 	private final RouteHandler handler;
 
-	private final HttpFront front;
+	private final HttpFront callerServer;
 
-	private final HttpFront readiness;
+	private final HttpFront readinessServer;
 
 	private final FleetFallback fallback;
 
@@ -112,21 +112,22 @@
 	 * Make a daemon.
 	 * @param options what it is started with
 	 * @param dialect reads and writes headers
-	 * @param link the link to control
+	 * @param controlLink the link to control
 	 */
-	public RouteDaemon(RouteOptions options, RequestDialect dialect, ControlLink link) {
+	public RouteDaemon(RouteOptions options, RequestDialect dialect, ControlLink controlLink) {
 		this.options = options;
-		this.link = link;
+		this.controlLink = controlLink;
 		this.limits = new HttpLimits(CallerLimits.DEFAULT.maxBodyBytes(), options.maxConnections(), READ_TIMEOUT,
 				CallerLimits.DEFAULT.maxHeaderBytes(), CallerLimits.DEFAULT.idleTimeout());
-		this.links = new EndpointLinks(this.loop);
-		this.pools = new PoolStates(this.loop, options.retries(), this.links::hasIdle);
-		this.handler = new RouteHandler(new RouteContext(this.loop, dialect, this.links, this.pools, this.metrics,
-				this.open, new LineBudget(LATE_LINES_PER_SECOND, System.nanoTime())));
-		this.front = new HttpFront(options.listen(), () -> this.limits, this.loops, this.handler);
-		this.readiness = new HttpFront(options.ready(), () -> this.limits, this.loops, new Readiness());
-		this.fallback = new FleetFallback(options.fleet(), (fleet) -> takeFleet(fleet, "list"));
-		this.gossip = options.load().map((self) -> new LoadGossip(this.loop, this.pools, self));
+		this.connections = new EndpointConnections(this.loop);
+		this.pools = new PoolStates(this.loop, options.retryBudget(), this.connections::hasIdle);
+		this.handler = new RouteHandler(new RouteContext(this.loop, dialect, this.connections, this.pools, this.metrics,
+				this.openExchanges, new LineBudget(MAX_LATE_LINES_PER_SECOND, System.nanoTime())));
+		this.callerServer = new HttpFront(options.listen(), () -> this.limits, this.eventLoops, this.handler);
+		this.readinessServer = new HttpFront(options.ready(), () -> this.limits, this.eventLoops,
+				new ReadinessHandler());
+		this.fallback = new FleetFallback(options.fleetSource(), (fleet) -> applyFleet(fleet, "list"));
+		this.gossip = options.loadPeer().map((self) -> new LoadGossip(this.loop, this.pools, self));
 	}
 
 	/**
@@ -144,23 +145,23 @@
 	 */
 	public void start(Optional<ServerSocketChannel> opened) throws IOException {
 		try {
-			open(opened);
+			startComponents(opened);
 		}
 		catch (IOException ex) {
-			this.link.close();
+			this.controlLink.close();
 			throw ex;
 		}
 	}
 
-	private void open(Optional<ServerSocketChannel> opened) throws IOException {
+	private void startComponents(Optional<ServerSocketChannel> opened) throws IOException {
 		// First of all: control answers while the rest gets ready.
-		this.link.start(new Followed(), List::of);
-		this.readiness.start();
-		this.front.start(opened);
-		CompletableFuture.delayedExecutor(ADMIN_MILLIS, TimeUnit.MILLISECONDS).execute(this::openAdmin);
+		this.controlLink.start(new ControlListener(), List::of);
+		this.readinessServer.start();
+		this.callerServer.start(opened);
+		CompletableFuture.delayedExecutor(ADMIN_DELAY_MILLIS, TimeUnit.MILLISECONDS).execute(this::openAdmin);
 		policy(this.options.policy());
-		this.loop.scheduleAtFixedRate(this::sweep, SWEEP_MILLIS, SWEEP_MILLIS, TimeUnit.MILLISECONDS);
-		this.gossip.ifPresent((sharing) -> this.loop.execute(sharing::start));
+		this.loop.scheduleAtFixedRate(this::sweep, SWEEP_INTERVAL_MILLIS, SWEEP_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
+		this.gossip.ifPresent((loadGossip) -> this.loop.execute(loadGossip::start));
 		this.fallback.start();
 		DecisionLog.write(LogEvent.STARTED, this.options.listen().toString());
 	}
@@ -171,10 +172,10 @@
 	 * @param next the policy
 	 */
 	public void policy(RoutingPolicy next) {
-		this.loop.execute(() -> takePolicy(next));
+		this.loop.execute(() -> applyPolicy(next));
 	}
 
-	private void takePolicy(RoutingPolicy next) {
+	private void applyPolicy(RoutingPolicy next) {
 		this.pools.policy(next);
 		DecisionLog.write(LogEvent.ROUTING_POLICY, next.name(),
 				next.off().stream().map(RoutingMechanism::label).toList(), next.values().toString());
@@ -193,19 +194,19 @@
 	}
 
 	private void sweep() {
-		this.links.sweep(this.pools::isThere);
-		this.handler.tellMerged();
-		this.pools.recount();
-		this.pools.tellDivisions();
+		this.connections.sweep(this.pools::isInFleet);
+		this.handler.logRefusalSummaries();
+		this.pools.refreshSharers();
+		this.pools.logDivisions();
 		publishGauges();
 	}
 
 	private void publishGauges() {
 		long now = System.nanoTime();
 		this.metrics.gauges()
-			.publish(new RouteGauges.Snapshot(this.open.size(), this.front.connections(), this.links.idle(),
-					this.pools.number(), (now - this.configuredAt) / 1e9, this.pools.sharing().vms(),
-					this.pools.gauges(now), this.pools.policy()));
+			.publish(new RouteGauges.Snapshot(this.openExchanges.size(), this.callerServer.connections(),
+					this.connections.idleCount(), this.pools.tableNumber(), (now - this.configuredAt) / 1e9,
+					this.pools.sharing().vms(), this.pools.gauges(now), this.pools.policy()));
 	}
 
 	/**
@@ -213,7 +214,7 @@
 	 * @return the port
 	 */
 	public int port() {
-		return this.front.port();
+		return this.callerServer.port();
 	}
 
 	/**
@@ -221,7 +222,7 @@
 	 * @return the port
 	 */
 	public int readyPort() {
-		return this.readiness.port();
+		return this.readinessServer.port();
 	}
 
 	/**
@@ -235,20 +236,22 @@
 	/**
 	 * Stop gracefully, unless told to hurry: not ready at once, then no new connections,
 	 * then what is in flight is finished.
-	 * @param hurry whether to cut what is left at once
+	 * @param immediate whether to cut what is left at once
 	 * @return {@link ResultCode#OK}, or {@link ResultCode#DRAIN_LIMIT} if work was cut
 	 * @throws InterruptedException if the thread is interrupted
 	 */
-	public ResultCode stop(BooleanSupplier hurry) throws InterruptedException {
+	public ResultCode stop(BooleanSupplier immediate) throws InterruptedException {
 		this.stopping = true;
-		DecisionLog.write(LogEvent.STOPPING, this.loop.submit(this.open::size).awaitUninterruptibly().getNow());
-		this.link.leaving();
-		this.front.closeAfterAnswers();
-		StopWait.until(hurry, this.options.stopDelay(), () -> false);
-		this.front.stopAccepting();
-		boolean drained = StopWait.until(hurry, this.options.drainLimit(), this::isIdle);
+		DecisionLog.write(LogEvent.STOPPING,
+				this.loop.submit(this.openExchanges::size).awaitUninterruptibly().getNow());
+		this.controlLink.leaving();
+		this.callerServer.closeAfterAnswers();
+		StopWait.until(immediate, this.options.stopDelay(), () -> false);
+		this.callerServer.stopAccepting();
+		boolean drained = StopWait.until(immediate, this.options.drainLimit(), this::isIdle);
 		if (!drained) {
-			this.loop.submit(() -> List.copyOf(this.open).forEach(RoutedExchange::cut)).awaitUninterruptibly();
+			this.loop.submit(() -> List.copyOf(this.openExchanges).forEach(RoutedExchange::abortForShutdown))
+				.awaitUninterruptibly();
 			StopWait.until(() -> false, Duration.ofMillis(200), this::isIdle);
 		}
 		close();
@@ -257,38 +260,39 @@
 	}
 
 	private boolean isIdle() {
-		boolean none = Boolean.TRUE.equals(this.loop.submit(this.open::isEmpty).awaitUninterruptibly().getNow());
-		return none && this.front.isIdle();
+		boolean none = Boolean.TRUE
+			.equals(this.loop.submit(this.openExchanges::isEmpty).awaitUninterruptibly().getNow());
+		return none && this.callerServer.isIdle();
 	}
 
 	private void close() {
-		this.gossip.ifPresent((sharing) -> this.loop.execute(sharing::stop));
+		this.gossip.ifPresent((loadGossip) -> this.loop.execute(loadGossip::stop));
 		this.fallback.close();
-		this.front.close();
-		this.readiness.close();
-		this.link.close();
+		this.callerServer.close();
+		this.readinessServer.close();
+		this.controlLink.close();
 		closeAdmin();
-		this.loops.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
+		this.eventLoops.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
 	}
 
-	private static void tell(Fleet fleet, String source) {
+	private static void logFleet(Fleet fleet, String source) {
 		long leaving = fleet.endpoints().stream().filter(FleetEndpoint::leaving).count();
 		DecisionLog.write(LogEvent.FLEET, Long.toHexString(fleet.revision()), fleet.endpoints().size(), leaving,
 				source);
 	}
 
-	private void takeFleet(Fleet fleet, String source) {
+	private void applyFleet(Fleet fleet, String source) {
 		this.loop.execute(() -> {
 			if (fleet.revision() != this.pools.fleet().revision()) {
 				this.pools.fleet(fleet);
-				tell(fleet, source);
+				logFleet(fleet, source);
 			}
 			this.fleetKnown = true;
 		});
 	}
 
 	/** Takes over what control tells; called on the link's thread. */
-	private final class Followed implements ControlLink.Listener {
+	private final class ControlListener implements ControlLink.Listener {
 
 		@Override
 		public void manifest(Manifest next) {
@@ -307,13 +311,14 @@
 
 		@Override
 		public void fleet(Fleet fleet) {
-			RouteDaemon.this.fallback.confirmed(fleet);
-			takeFleet(fleet, "control");
+			RouteDaemon.this.fallback.fleetConfirmed(fleet);
+			applyFleet(fleet, "control");
 		}
 
 		@Override
 		public void peers(List<LoadPeer> peers) {
-			RouteDaemon.this.gossip.ifPresent((sharing) -> RouteDaemon.this.loop.execute(() -> sharing.peers(peers)));
+			RouteDaemon.this.gossip
+				.ifPresent((loadGossip) -> RouteDaemon.this.loop.execute(() -> loadGossip.peers(peers)));
 		}
 
 		@Override
@@ -333,18 +338,18 @@
 
 		@Override
 		public void entryCount(int count) {
-			RouteDaemon.this.loop.execute(() -> RouteDaemon.this.pools.entries(count));
+			RouteDaemon.this.loop.execute(() -> RouteDaemon.this.pools.updateEntryCount(count));
 		}
 
 		@Override
 		public void entryCountConfirmed() {
-			RouteDaemon.this.loop.execute(RouteDaemon.this.pools::entriesConfirmed);
+			RouteDaemon.this.loop.execute(RouteDaemon.this.pools::confirmEntryCount);
 		}
 
 	}
 
 	/** Answers every request at its address with whether the VM is ready. */
-	private final class Readiness implements RequestHandler {
+	private final class ReadinessHandler implements RequestHandler {
 
 		@Override
 		public void handle(CallerRequest request, CallerResponse response) {
--- a/daemon/src/main/java/org/acaciacourse/daemon/route/RouteGauges.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/route/RouteGauges.java
@@ -21,11 +21,12 @@
 	private volatile Snapshot latest = new Snapshot(0, 0, 0, 0, 0, 0, Map.of(), RoutingPolicy.DEFAULT);
 
 	RouteGauges(PrometheusRegistry registry) {
-		gauge(registry, "acaciacourse_routed_open_requests", "Routed requests without an end", Snapshot::open);
-		gauge(registry, "acaciacourse_caller_connections", "Open connections of callers", Snapshot::callers);
-		gauge(registry, "acaciacourse_endpoint_connections_idle", "Kept connections to endpoints", Snapshot::idleLinks);
+		gauge(registry, "acaciacourse_routed_open_requests", "Routed requests without an end", Snapshot::openRequests);
+		gauge(registry, "acaciacourse_caller_connections", "Open connections of callers", Snapshot::callerConnections);
+		gauge(registry, "acaciacourse_endpoint_connections_idle", "Kept connections to endpoints",
+				Snapshot::idleConnections);
 		gauge(registry, "acaciacourse_configuration_number", "Number of the configuration in force",
-				Snapshot::configuration);
+				Snapshot::configurationNumber);
 		gauge(registry, "acaciacourse_configuration_age_seconds", "Time since the configuration came into force",
 				Snapshot::configurationAge);
 		gauge(registry, "acaciacourse_retry_sharers", "Entry VMs that the retry budgets are divided by",
@@ -75,17 +76,17 @@
 	/**
 	 * The values of one moment.
 	 *
-	 * @param open requests without an end
-	 * @param callers open connections of callers
-	 * @param idleLinks kept connections to endpoints
-	 * @param configuration the number in force, 0 for none
+	 * @param openRequests requests without an end
+	 * @param callerConnections open connections of callers
+	 * @param idleConnections kept connections to endpoints
+	 * @param configurationNumber the number in force, 0 for none
 	 * @param configurationAge seconds since it came into force
 	 * @param sharers entry VMs that the retry budgets are divided by
 	 * @param pools the pools by name
 	 * @param policy the routing policy in force
 	 */
-	record Snapshot(int open, int callers, int idleLinks, long configuration, double configurationAge, int sharers,
-			Map<String, Pool> pools, RoutingPolicy policy) {
+	record Snapshot(int openRequests, int callerConnections, int idleConnections, long configurationNumber,
+			double configurationAge, int sharers, Map<String, Pool> pools, RoutingPolicy policy) {
 
 		Snapshot {
 			pools = Map.copyOf(pools);
--- a/daemon/src/main/java/org/acaciacourse/daemon/route/RouteHandler.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/route/RouteHandler.java
@@ -31,22 +31,22 @@
 	 * A request that was held for the configuration in vain finds control lost: it takes
 	 * an election, a second or two, until there is one.
 	 */
-	private static final Duration COME_BACK = Duration.ofMillis(1_200);
+	private static final Duration RETRY_AFTER = Duration.ofMillis(1_200);
 
 	/** As many as an entry has usual requests; the rest of a burst is merged. */
-	private static final int REFUSALS_TOLD_PER_SECOND = 10;
+	private static final int MAX_REFUSAL_LINES_PER_SECOND = 10;
 
-	private final RefusalMerger merger = new RefusalMerger(REFUSALS_TOLD_PER_SECOND);
+	private final RefusalMerger refusalLog = new RefusalMerger(MAX_REFUSAL_LINES_PER_SECOND);
 
 	private final RouteContext context;
 
-	private final EarlyRequests early;
+	private final HeldRequests heldRequests;
 
 	private Optional<RouteTable> table = Optional.empty();
 
 	RouteHandler(RouteContext context) {
 		this.context = context;
-		this.early = new EarlyRequests(context.loop());
+		this.heldRequests = new HeldRequests(context.loop());
 	}
 
 	/**
@@ -57,7 +57,7 @@
 		if (this.table.isEmpty() || next.number() > this.table.get().number()) {
 			this.table = Optional.of(next);
 			this.context.pools().table(next);
-			this.early.release((held) -> handle(held.request(), held.response(), held.arrivedAt()));
+			this.heldRequests.release((held) -> handle(held.request(), held.response(), held.arrivedAt()));
 		}
 	}
 
@@ -69,10 +69,10 @@
 	private void handle(CallerRequest request, CallerResponse response, long arrivedAt) {
 		RequestDialect.RequestFacts facts = this.context.dialect().request(request.headers());
 		if (this.table.isEmpty()) {
-			long patience = facts.patienceMillis().orElse(Long.MAX_VALUE);
+			long callerTimeoutMillis = facts.callerTimeoutMillis().orElse(Long.MAX_VALUE);
 			Runnable refusal = () -> refuse(request, response, ResultCode.NOT_READY, facts);
-			boolean holds = this.context.pools().policy().isOn(RoutingMechanism.HELD_REQUESTS);
-			if (!holds || !this.early.hold(request, response, patience, refusal)) {
+			boolean holdsRequests = this.context.pools().policy().isOn(RoutingMechanism.HELD_REQUESTS);
+			if (!holdsRequests || !this.heldRequests.hold(request, response, callerTimeoutMillis, refusal)) {
 				refusal.run();
 			}
 			return;
@@ -93,34 +93,35 @@
 			return;
 		}
 		boolean ranked = this.context.pools().policy().isOn(RoutingMechanism.RANKS_OF_ROUTES);
-		RouteTable inForce = this.table.get();
+		RouteTable activeTable = this.table.get();
 		RoutedRequest routed = RoutedRequest.of(request, this.context.dialect(), facts, route.get(), owner,
-				(ranked) ? inForce.urgency(route.get(), owner) : RouteTable.priority(route.get(), owner),
-				(ranked) ? inForce.deferredUrgency(route.get(), owner) : OptionalInt.empty());
+				(ranked) ? activeTable.urgency(route.get(), owner) : RouteTable.priority(route.get(), owner),
+				(ranked) ? activeTable.deferredUrgency(route.get(), owner) : OptionalInt.empty());
 		new RoutedExchange(this.context, routed, response, arrivedAt).start();
 	}
 
 	private void refuse(CallerRequest request, CallerResponse response, ResultCode code,
 			RequestDialect.RequestFacts facts) {
-		this.context.metrics().refused(code);
-		if (this.merger.tell(code, facts.id(), System.nanoTime())) {
+		this.context.metrics().requestRefused(code);
+		if (this.refusalLog.tell(code, facts.id(), System.nanoTime())) {
 			DecisionLog.write(LogEvent.REQUEST_REFUSED, facts.id(), code.number(), request.headers().get("host"),
-					request.path(), this.context.pools().number(), (code.isRetryable()) ? COME_BACK.toMillis() : null);
+					request.path(), this.context.pools().tableNumber(),
+					(code.isRetryable()) ? RETRY_AFTER.toMillis() : null);
 		}
 		RoutedExchange.refuse(this.context.dialect(), response,
-				Refusal.of(code, RunState.NOT_RUN, Optional.of(COME_BACK)));
+				Refusal.of(code, RunState.NOT_RUN, Optional.of(RETRY_AFTER)));
 	}
 
 	// Tells the refusals that were merged; called once a second.
-	void tellMerged() {
-		this.merger.due(System.nanoTime())
-			.forEach((merged) -> DecisionLog.write(LogEvent.REFUSALS_MERGED, merged.code().number(), merged.count(),
-					merged.requests()));
+	void logRefusalSummaries() {
+		this.refusalLog.due(System.nanoTime())
+			.forEach((summary) -> DecisionLog.write(LogEvent.REFUSALS_MERGED, summary.code().number(), summary.count(),
+					summary.requests()));
 	}
 
 	@Override
 	public void refused(ResultCode code) {
-		this.context.metrics().refused(code);
+		this.context.metrics().requestRefused(code);
 	}
 
 }
--- a/daemon/src/main/java/org/acaciacourse/daemon/route/RouteMetrics.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/route/RouteMetrics.java
@@ -21,7 +21,7 @@
 
 	private final PrometheusRegistry registry = new PrometheusRegistry();
 
-	private final Counter ends = Counter.builder()
+	private final Counter requests = Counter.builder()
 		.name("acaciacourse_routed_requests_total")
 		.help("Routed requests by result code, pool, kind and priority")
 		.labelNames("code", "pool", "kind", "priority")
@@ -39,21 +39,23 @@
 		.labelNames("pool")
 		.register(this.registry);
 
-	private final Histogram first = seconds("first_answer", "Time from a request to the first part of its answer");
+	private final Histogram responseStart = secondsHistogram("first_answer",
+			"Time from a request to the first part of its answer");
 
-	private final Histogram waited = seconds("queue", "Time that a request waited for an endpoint");
+	private final Histogram queueTime = secondsHistogram("queue", "Time that a request waited for an endpoint");
 
-	private final Histogram gap = seconds("longest_gap", "Longest time between two events of an answer");
+	private final Histogram longestGap = secondsHistogram("longest_gap",
+			"Longest time between two events of an answer");
 
 	private final RouteGauges gauges = new RouteGauges(this.registry);
 
-	private final Map<String, CounterDataPoint> points = new ConcurrentHashMap<>();
+	private final Map<String, CounterDataPoint> dataPoints = new ConcurrentHashMap<>();
 
 	RouteMetrics() {
 		ProcessMetrics.register(this.registry);
 	}
 
-	private Histogram seconds(String name, String help) {
+	private Histogram secondsHistogram(String name, String help) {
 		return Histogram.builder()
 			.name("acaciacourse_routed_" + name + "_seconds")
 			.help(help)
@@ -71,39 +73,39 @@
 		return this.gauges;
 	}
 
-	void ended(Route route, String pool, ResultCode code) {
+	void requestEnded(Route route, String pool, ResultCode code) {
 		String key = code.number() + " " + pool + " " + route.kind().label() + " " + route.priority();
-		this.points
-			.computeIfAbsent(key, (k) -> this.ends.labelValues(Integer.toString(code.number()), pool,
+		this.dataPoints
+			.computeIfAbsent(key, (k) -> this.requests.labelValues(Integer.toString(code.number()), pool,
 					route.kind().label(), Integer.toString(route.priority())))
 			.inc();
 	}
 
-	void refused(ResultCode code) {
-		this.points
+	void requestRefused(ResultCode code) {
+		this.dataPoints
 			.computeIfAbsent(Integer.toString(code.number()),
-					(k) -> this.ends.labelValues(Integer.toString(code.number()), "none", "none", "none"))
+					(k) -> this.requests.labelValues(Integer.toString(code.number()), "none", "none", "none"))
 			.inc();
 	}
 
-	void attempt(String end) {
-		this.points.computeIfAbsent(end, this.attempts::labelValues).inc();
+	void attemptEnded(String end) {
+		this.dataPoints.computeIfAbsent(end, this.attempts::labelValues).inc();
 	}
 
 	void retried(String pool) {
 		this.retries.labelValues(pool).inc();
 	}
 
-	void first(Route route, long nanos) {
-		this.first.labelValues(route.kind().label()).observe(nanos / 1e9);
+	void responseStarted(Route route, long nanos) {
+		this.responseStart.labelValues(route.kind().label()).observe(nanos / 1e9);
 	}
 
-	void waited(Route route, long nanos) {
-		this.waited.labelValues(route.kind().label()).observe(nanos / 1e9);
+	void requestPlaced(Route route, long nanos) {
+		this.queueTime.labelValues(route.kind().label()).observe(nanos / 1e9);
 	}
 
 	void longestGap(Route route, long nanos) {
-		this.gap.labelValues(route.kind().label()).observe(nanos / 1e9);
+		this.longestGap.labelValues(route.kind().label()).observe(nanos / 1e9);
 	}
 
 }
--- a/daemon/src/main/java/org/acaciacourse/daemon/route/RoutedExchange.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/route/RoutedExchange.java
@@ -43,20 +43,20 @@
 	/**
 	 * How long a request waits for an endpoint that takes it, as a share of its target.
 	 */
-	private static final int WAIT_SHARE = 4;
+	private static final int PLACEMENT_WAIT_DIVISOR = 4;
 
 	/** After a start the list of endpoints comes right after the configuration. */
 	private static final long FLEET_WAIT_NANOS = TimeUnit.MILLISECONDS.toNanos(1_500);
 
-	private static final long LEAST_WAIT_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
+	private static final long MIN_PLACEMENT_WAIT_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
 
 	/** When to come back if no endpoint took the request; spread over twice the time. */
-	private static final long COME_BACK_MILLIS = 300;
+	private static final long RETRY_AFTER_MILLIS = 300;
 
 	/** A shorter rest of the time can't yield an answer any more. */
-	private static final long LEAST_REMAINING_MILLIS = 5;
+	private static final long MIN_REMAINING_MILLIS = 5;
 
-	private static final String NO_RETRY_LEFT = "no retry left in the budget";
+	private static final String RETRY_BUDGET_EXHAUSTED = "no retry left in the budget";
 
 	private final RouteContext context;
 
@@ -70,23 +70,23 @@
 
 	private final RequestProgress progress;
 
-	private final ExchangeRecord record;
+	private final ExchangeTelemetry telemetry;
 
 	private final long startedAt;
 
-	private final long endsAt;
+	private final long deadlineAt;
 
-	private final ScheduledFuture<?> deadline;
+	private final ScheduledFuture<?> deadlineTimer;
 
 	private Optional<Attempt> current = Optional.empty();
 
-	private Optional<WholeAnswer> failureAnswer = Optional.empty();
+	private Optional<BufferedResponse> failureResponse = Optional.empty();
 
-	private OptionalLong lastEvent;
+	private OptionalLong lastEventId;
 
-	private long refusedSince;
+	private long unplacedSince;
 
-	private Turn turn = Turn.BEFORE_OTHERS;
+	private Turn queuePosition = Turn.BEFORE_OTHERS;
 
 	/** Whether a retry of the budget is set aside for this request. */
 	private boolean retryReserved;
@@ -109,14 +109,15 @@
 		this.brief = this.pool.isBrief(request.route().target(),
 				context.pools().policy().value(RoutingParameter.NEARLY_SHORTEST));
 		this.progress = new RequestProgress(request.route());
-		this.lastEvent = request.facts().lastEvent();
+		this.lastEventId = request.facts().lastEventId();
 		long millis = request.route().timeout().toMillis();
-		if (request.facts().patienceMillis().isPresent()) {
-			millis = Math.min(millis, request.facts().patienceMillis().getAsLong());
+		if (request.facts().callerTimeoutMillis().isPresent()) {
+			millis = Math.min(millis, request.facts().callerTimeoutMillis().getAsLong());
 		}
-		this.endsAt = this.startedAt + TimeUnit.MILLISECONDS.toNanos(millis);
-		this.record = new ExchangeRecord(context, request, this.startedAt, this.endsAt);
-		this.deadline = context.loop().schedule(this::timedOut, this.endsAt - System.nanoTime(), TimeUnit.NANOSECONDS);
+		this.deadlineAt = this.startedAt + TimeUnit.MILLISECONDS.toNanos(millis);
+		this.telemetry = new ExchangeTelemetry(context, request, this.startedAt, this.deadlineAt);
+		this.deadlineTimer = context.loop()
+			.schedule(this::timedOut, this.deadlineAt - System.nanoTime(), TimeUnit.NANOSECONDS);
 		response.onGone(this::callerGone);
 	}
 
@@ -132,23 +133,23 @@
 		return this.response;
 	}
 
-	OptionalLong lastEvent() {
-		return this.lastEvent;
+	OptionalLong lastEventId() {
+		return this.lastEventId;
 	}
 
 	/** Begin. */
 	void start() {
-		this.context.open().add(this);
+		this.context.openExchanges().add(this);
 		this.pool.allowance().request(System.nanoTime());
-		attempt();
+		enqueue();
 	}
 
-	private void attempt() {
+	private void enqueue() {
 		if (this.done) {
 			return;
 		}
 		if (this.progress.isRepeat() && !reserveRetry()) {
-			fail(NO_RETRY_LEFT);
+			fail(RETRY_BUDGET_EXHAUSTED);
 			return;
 		}
 		if (this.context.pools().policy().isOn(RoutingMechanism.ORDER_OF_THE_QUEUE)) {
@@ -171,35 +172,36 @@
 	 * Look for an endpoint; called while the request waits for one.
 	 * @return whether the request waits no more
 	 */
-	boolean place() {
+	boolean tryPlace() {
 		long now = System.nanoTime();
-		Placement asked = asked();
-		Optional<FleetEndpoint> choice = this.pool.balancer().choose(asked, now);
+		Placement placement = placement();
+		Optional<FleetEndpoint> choice = this.pool.balancer().choose(placement, now);
 		if (choice.isEmpty()) {
-			return isRefusedTooLong(now);
+			return failIfWaitedTooLong(now);
 		}
 		this.pool.queue().remove(this);
-		this.refusedSince = 0;
-		this.record.placed(now);
-		begin(choice.get(), asked);
+		this.unplacedSince = 0;
+		this.telemetry.placed(now);
+		startAttempt(choice.get(), placement);
 		return true;
 	}
 
 	// Spread over twice the shortest time.
-	private Duration comeBack() {
-		return Duration.ofMillis(COME_BACK_MILLIS + Math.floorMod(this.request.hash(), COME_BACK_MILLIS));
+	private Duration retryAfter() {
+		return Duration.ofMillis(RETRY_AFTER_MILLIS + Math.floorMod(this.request.idHash(), RETRY_AFTER_MILLIS));
 	}
 
-	private boolean isRefusedTooLong(long now) {
-		if (this.refusedSince == 0) {
-			this.refusedSince = now;
+	private boolean failIfWaitedTooLong(long now) {
+		if (this.unplacedSince == 0) {
+			this.unplacedSince = now;
 		}
-		long most = Math.max(LEAST_WAIT_NANOS, this.request.route().target().toNanos() / WAIT_SHARE);
+		long maxWaitNanos = Math.max(MIN_PLACEMENT_WAIT_NANOS,
+				this.request.route().target().toNanos() / PLACEMENT_WAIT_DIVISOR);
 		if (this.context.pools().fleet().revision() == 0) {
-			most = FLEET_WAIT_NANOS;
+			maxWaitNanos = FLEET_WAIT_NANOS;
 		}
-		boolean vain = this.pool.balancer().isExhausted(this.progress.tried());
-		if (!vain && now - this.refusedSince < most) {
+		boolean exhausted = this.pool.balancer().isExhausted(this.progress.tried());
+		if (!exhausted && now - this.unplacedSince < maxWaitNanos) {
 			return false;
 		}
 		this.pool.queue().remove(this);
@@ -207,24 +209,24 @@
 		return true;
 	}
 
-	private Placement asked() {
+	private Placement placement() {
 		return new Placement(this.request.facts().prompt(), this.request.route().affinity(), this.brief,
-				this.request.hash(), this.progress.tried());
+				this.request.idHash(), this.progress.tried());
 	}
 
-	private void begin(FleetEndpoint endpoint, Placement asked) {
-		this.turn = turn(endpoint);
+	private void startAttempt(FleetEndpoint endpoint, Placement placement) {
+		this.queuePosition = queuePosition(endpoint);
 		Attempt attempt = new Attempt(this, endpoint,
-				this.pool.balancer().begin(endpoint.instance(), asked, this.turn, System.nanoTime()));
+				this.pool.balancer().begin(endpoint.instance(), placement, this.queuePosition, System.nanoTime()));
 		this.current = Optional.of(attempt);
 		this.progress.begin(endpoint.instance());
-		this.context.links().acquire(endpoint, (link) -> connected(attempt, endpoint, link));
+		this.context.connections().acquire(endpoint, (result) -> connected(attempt, endpoint, result));
 	}
 
 	// A request that is late in any case waits at its engine behind those that can still
 	// be in time: in an overload all would be late otherwise, each by as much as the
 	// callers bear.
-	private Turn turn(FleetEndpoint endpoint) {
+	private Turn queuePosition(FleetEndpoint endpoint) {
 		if (this.request.deferredUrgency().isEmpty()) {
 			return Turn.BEFORE_OTHERS;
 		}
@@ -233,15 +235,15 @@
 		return (late) ? Turn.DEFERRED : Turn.AFTER_OTHERS;
 	}
 
-	private void connected(Attempt attempt, FleetEndpoint endpoint, Try<EndpointLink> connection) {
+	private void connected(Attempt attempt, FleetEndpoint endpoint, Try<EndpointConnection> result) {
 		if (this.done || this.current.isEmpty() || this.current.get() != attempt) {
-			connection.forEach((link) -> this.context.links().release(endpoint, link));
+			result.forEach((connection) -> this.context.connections().release(endpoint, connection));
 		}
-		else if (connection.isFailure()) {
-			attempt.end(AttemptEnd.NOT_SENT, outcomeOf(connection.getCause()));
+		else if (result.isFailure()) {
+			attempt.end(AttemptEnd.NOT_SENT, outcomeOf(result.getCause()));
 		}
 		else {
-			send(attempt, endpoint, connection.get());
+			send(attempt, endpoint, result.get());
 		}
 	}
 
@@ -252,21 +254,21 @@
 		return (refused) ? Outcome.GONE : Outcome.LOST;
 	}
 
-	private void send(Attempt attempt, FleetEndpoint endpoint, EndpointLink link) {
-		long remaining = TimeUnit.NANOSECONDS.toMillis(this.endsAt - System.nanoTime());
-		if (remaining < LEAST_REMAINING_MILLIS) {
-			this.context.links().release(endpoint, link);
+	private void send(Attempt attempt, FleetEndpoint endpoint, EndpointConnection connection) {
+		long remainingMillis = TimeUnit.NANOSECONDS.toMillis(this.deadlineAt - System.nanoTime());
+		if (remainingMillis < MIN_REMAINING_MILLIS) {
+			this.context.connections().release(endpoint, connection);
 			timedOut();
 			return;
 		}
 		if (this.progress.isRepeat() && !spendRetry(endpoint)) {
-			this.context.links().release(endpoint, link);
-			fail(NO_RETRY_LEFT);
+			this.context.connections().release(endpoint, connection);
+			fail(RETRY_BUDGET_EXHAUSTED);
 			return;
 		}
 		this.progress.sent();
-		this.record.sent(endpoint.instance(), urgency(), attempt.workAhead(), System.nanoTime());
-		attempt.send(link, message(endpoint, remaining));
+		this.telemetry.sent(endpoint.instance(), urgency(), attempt.workAhead(), System.nanoTime());
+		attempt.send(connection, httpRequest(endpoint, remainingMillis));
 	}
 
 	private boolean spendRetry(FleetEndpoint endpoint) {
@@ -274,29 +276,30 @@
 		this.retryReserved = false;
 		boolean permitted = this.pool.allowance().spend(now);
 		if (permitted) {
-			this.record.retried(endpoint.instance(), this.pool.allowance().balance(now));
+			this.telemetry.retried(endpoint.instance(), this.pool.allowance().balance(now));
 		}
 		return permitted;
 	}
 
-	private FullHttpRequest message(FleetEndpoint endpoint, long remaining) {
+	private FullHttpRequest httpRequest(FleetEndpoint endpoint, long remainingMillis) {
 		byte[] body = this.request.body();
-		FullHttpRequest message = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1,
-				HttpMethod.valueOf(this.request.method()), this.request.target(), Unpooled.wrappedBuffer(body));
-		HttpHeaders headers = message.headers();
+		FullHttpRequest httpRequest = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1,
+				HttpMethod.valueOf(this.request.method()), this.request.requestTarget(), Unpooled.wrappedBuffer(body));
+		HttpHeaders headers = httpRequest.headers();
 		headers.add(this.request.headers());
 		if (body.length > 0 || this.request.hasBody()) {
 			headers.set(HttpHeaderNames.CONTENT_LENGTH, body.length);
 		}
-		boolean engine = this.context.pools().declared(this.request.pool()).map(Pool::isEngine).orElse(false);
+		boolean engine = this.context.pools().declaredPool(this.request.pool()).map(Pool::isEngine).orElse(false);
 		this.context.dialect()
-			.write(new RequestDialect.SendFacts(endpoint.instance(), this.request.customer(), remaining, urgency(),
-					this.lastEvent, engine), headers);
-		return message;
+			.write(new RequestDialect.SendFacts(endpoint.instance(), this.request.customer(), remainingMillis,
+					urgency(), this.lastEventId, engine), headers);
+		return httpRequest;
 	}
 
 	private int urgency() {
-		return (this.turn == Turn.DEFERRED) ? this.request.deferredUrgency().orElseThrow() : this.request.urgency();
+		return (this.queuePosition == Turn.DEFERRED) ? this.request.deferredUrgency().orElseThrow()
+				: this.request.urgency();
 	}
 
 	/**
@@ -304,15 +307,15 @@
 	 * @param attempt the attempt
 	 * @param end how it ended
 	 */
-	void ended(Attempt attempt, AttemptEnd end) {
+	void attemptEnded(Attempt attempt, AttemptEnd end) {
 		if (this.done || this.current.isEmpty() || this.current.get() != attempt) {
 			return;
 		}
 		this.current = Optional.empty();
 		this.progress.ended(end);
-		this.context.metrics().attempt(end.name());
+		this.context.metrics().attemptEnded(end.name());
 		if (this.progress.mayTryAgain()) {
-			attempt();
+			enqueue();
 		}
 		else {
 			fail(end.name());
@@ -323,43 +326,43 @@
 	 * Return whether an attempt that is silent may be given up for another one.
 	 * @return whether a repeat is harmless and within the bounds
 	 */
-	boolean mayReplace() {
+	boolean mayReplaceAttempt() {
 		return this.request.route().isIdempotent() && this.progress.mayTryAgain()
 				&& this.pool.allowance().mayRetry(System.nanoTime())
-				&& this.pool.balancer().choose(asked(), System.nanoTime()).isPresent();
+				&& this.pool.balancer().choose(placement(), System.nanoTime()).isPresent();
 	}
 
 	// An endpoint's failure, which is passed on if no attempt yields better.
-	void keepFailure(WholeAnswer answer) {
-		this.failureAnswer = Optional.of(answer);
+	void keepFailureResponse(BufferedResponse failure) {
+		this.failureResponse = Optional.of(failure);
 	}
 
 	/** The first part of the answer is passed on. */
-	void firstPart() {
-		this.record.first(System.nanoTime());
+	void responseStarted() {
+		this.telemetry.responseStarted(System.nanoTime());
 	}
 
 	/**
 	 * An event was passed on.
 	 * @param id its id, if it has one
 	 */
-	void passedOn(OptionalLong id) {
+	void eventForwarded(OptionalLong id) {
 		this.progress.passedOn();
-		this.record.event(System.nanoTime());
+		this.telemetry.eventForwarded(System.nanoTime());
 		if (id.isPresent()) {
-			this.lastEvent = id;
+			this.lastEventId = id;
 		}
 	}
 
 	/**
 	 * Pass a whole answer on.
-	 * @param answer the answer
+	 * @param buffered the answer
 	 */
-	void answer(WholeAnswer answer) {
+	void respond(BufferedResponse buffered) {
 		if (close()) {
-			firstPart();
-			this.response.answer(answer.status(), answer.headers(), answer.body());
-			this.record.answered(this.progress);
+			responseStarted();
+			this.response.answer(buffered.status(), buffered.headers(), buffered.body());
+			this.telemetry.responseComplete(this.progress);
 		}
 	}
 
@@ -367,15 +370,15 @@
 	void endStream() {
 		if (close()) {
 			this.response.endStream();
-			this.record.answered(this.progress);
+			this.telemetry.responseComplete(this.progress);
 		}
 	}
 
 	private void fail(String detail) {
-		if (this.failureAnswer.isPresent() && !this.response.isStarted()) {
-			WholeAnswer kept = this.failureAnswer.get();
+		if (this.failureResponse.isPresent() && !this.response.isStarted()) {
+			BufferedResponse kept = this.failureResponse.get();
 			if (close()) {
-				this.record.failed(ResultCode.ENDPOINT_ERROR, "the endpoint's failure is passed on", this.progress,
+				this.telemetry.failed(ResultCode.ENDPOINT_ERROR, "the endpoint's failure is passed on", this.progress,
 						Duration.ZERO);
 				this.response.answer(kept.status(), kept.headers(), kept.body());
 			}
@@ -394,15 +397,15 @@
 		if (!close()) {
 			return;
 		}
-		Duration comeBack = comeBack();
-		this.record.failed(code, detail, this.progress, comeBack);
+		Duration retryAfter = retryAfter();
+		this.telemetry.failed(code, detail, this.progress, retryAfter);
 		if (this.response.isStarted()) {
 			// The answer can't be completed: only a broken connection tells that.
 			this.response.abort();
 			return;
 		}
 		refuse(this.context.dialect(), this.response,
-				Refusal.of(code, this.progress.runState(), Optional.of(comeBack)));
+				Refusal.of(code, this.progress.runState(), Optional.of(retryAfter)));
 	}
 
 	/**
@@ -420,13 +423,13 @@
 
 	private void callerGone() {
 		if (close()) {
-			this.record.failed(ResultCode.CALLER_GONE, "the caller closed the connection", this.progress,
+			this.telemetry.failed(ResultCode.CALLER_GONE, "the caller closed the connection", this.progress,
 					Duration.ZERO);
 		}
 	}
 
 	/** Cut the request: the VM ends before it does. */
-	void cut() {
+	void abortForShutdown() {
 		finish((this.progress.runState() == RunState.NOT_RUN) ? ResultCode.STOPPING : ResultCode.ENDPOINT_LOST,
 				"the VM stops");
 	}
@@ -436,8 +439,8 @@
 			return false;
 		}
 		this.done = true;
-		this.deadline.cancel(false);
-		this.context.open().remove(this);
+		this.deadlineTimer.cancel(false);
+		this.context.openExchanges().remove(this);
 		this.pool.queue().remove(this);
 		if (this.retryReserved) {
 			this.retryReserved = false;
@@ -455,7 +458,7 @@
 	 * @param headers the headers that are passed on
 	 * @param body the body
 	 */
-	record WholeAnswer(int status, HttpHeaders headers, byte[] body) {
+	record BufferedResponse(int status, HttpHeaders headers, byte[] body) {
 	}
 
 }
--- a/daemon/src/main/java/org/acaciacourse/daemon/route/RoutedRequest.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/route/RoutedRequest.java
@@ -16,7 +16,7 @@
  * Not thread safe: belongs to the event loop.
  *
  * @param method the HTTP method
- * @param target the path with the query, byte for byte
+ * @param requestTarget the path with the query, byte for byte
  * @param headers the headers that are passed on
  * @param body the body
  * @param hasBody whether the caller sent a body, be it an empty one
@@ -25,17 +25,17 @@
  * @param owner the customer, if there is a key
  * @param urgency the rank of the request, 0 is the highest
  * @param deferredUrgency its rank if it is late in any case, if it may get another one
- * @param hash a hash of the request's id
+ * @param idHash a hash of the request's id
  */
-record RoutedRequest(String method, String target, HttpHeaders headers, byte[] body, boolean hasBody,
+record RoutedRequest(String method, String requestTarget, HttpHeaders headers, byte[] body, boolean hasBody,
 		RequestDialect.RequestFacts facts, Route route, Optional<KeyOwner> owner, int urgency,
-		OptionalInt deferredUrgency, long hash) {
+		OptionalInt deferredUrgency, long idHash) {
 
 	private static final LongHashFunction HASH = LongHashFunction.xx3();
 
 	static RoutedRequest of(CallerRequest request, RequestDialect dialect, RequestDialect.RequestFacts facts,
 			Route route, Optional<KeyOwner> owner, int urgency, OptionalInt deferredUrgency) {
-		HttpHeaders headers = HopHeaders.endToEnd(request.headers());
+		HttpHeaders headers = HopByHopHeaders.endToEnd(request.headers());
 		boolean hasBody = request.headers().contains("content-length")
 				|| request.headers().contains("transfer-encoding");
 		dialect.clean(headers);
@@ -49,7 +49,7 @@
 	 * @return the name
 	 */
 	String pool() {
-		return this.route.pool(this.hash);
+		return this.route.pool(this.idHash);
 	}
 
 	Optional<String> customer() {
--- a/daemon/src/main/java/org/acaciacourse/daemon/route/EventFrames.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/route/ServerSentEventParser.java
@@ -10,19 +10,19 @@
  * <p>
  * Not thread safe: belongs to one attempt.
  */
-final class EventFrames {
+final class ServerSentEventParser {
 
 	/** More than any event that engines send; a longer one is taken for damage. */
-	static final int MAX_EVENT = 1024 * 1024;
+	static final int MAX_EVENT_BYTES = 1024 * 1024;
 
-	private static final byte[] ID = { 'i', 'd', ':' };
+	private static final byte[] ID_FIELD = { 'i', 'd', ':' };
 
 	private byte[] buffer = new byte[1024];
 
 	private int length;
 
 	/** Where the search for the end of the first event goes on. */
-	private int searched;
+	private int searchFrom;
 
 	/**
 	 * Take bytes in.
@@ -30,7 +30,7 @@
 	 * @return false if an event is too long
 	 */
 	boolean feed(byte[] bytes) {
-		if (this.length + bytes.length > MAX_EVENT) {
+		if (this.length + bytes.length > MAX_EVENT_BYTES) {
 			return false;
 		}
 		if (this.length + bytes.length > this.buffer.length) {
@@ -46,21 +46,21 @@
 	 * @return the event, or {@code null} if none is whole
 	 */
 	Event next() {
-		for (int i = this.searched; i < this.length; i++) {
-			if (this.buffer[i] == '\n' && endsLine(i)) {
+		for (int i = this.searchFrom; i < this.length; i++) {
+			if (this.buffer[i] == '\n' && endsEmptyLine(i)) {
 				byte[] bytes = Arrays.copyOf(this.buffer, i + 1);
 				this.length -= i + 1;
 				System.arraycopy(this.buffer, i + 1, this.buffer, 0, this.length);
-				this.searched = 0;
+				this.searchFrom = 0;
 				return new Event(bytes, idOf(bytes));
 			}
 		}
-		this.searched = Math.max(0, this.length - 2);
+		this.searchFrom = Math.max(0, this.length - 2);
 		return null;
 	}
 
 	// Whether the line that ends here is empty, so that an event ends with it.
-	private boolean endsLine(int at) {
+	private boolean endsEmptyLine(int at) {
 		int before = at - 1;
 		if (before >= 0 && this.buffer[before] == '\r') {
 			before--;
@@ -88,15 +88,16 @@
 			while (end < event.length && event[end] != '\n') {
 				end++;
 			}
-			if (end - line > ID.length && Arrays.equals(event, line, line + ID.length, ID, 0, ID.length)) {
-				return number(event, line + ID.length, end);
+			if (end - line > ID_FIELD.length
+					&& Arrays.equals(event, line, line + ID_FIELD.length, ID_FIELD, 0, ID_FIELD.length)) {
+				return parseNumber(event, line + ID_FIELD.length, end);
 			}
 			line = end + 1;
 		}
 		return OptionalLong.empty();
 	}
 
-	private static OptionalLong number(byte[] event, int from, int to) {
+	private static OptionalLong parseNumber(byte[] event, int from, int to) {
 		long value = 0;
 		int digits = 0;
 		for (int i = from; i < to; i++) {
--- a/daemon/src/test/java/org/acaciacourse/daemon/route/EventFramesTests.java
+++ b/daemon/src/test/java/org/acaciacourse/daemon/route/EventFramesTests.java
@@ -22,13 +22,13 @@
 	@ParameterizedTest
 	@ValueSource(ints = { 1, 2, 3, 5, 7, 1000 })
 	void eventsAreTheSameHoweverTheBytesArrive(int size) {
-		EventFrames frames = new EventFrames();
+		ServerSentEventParser frames = new ServerSentEventParser();
 		List<String> events = new ArrayList<>();
 		List<OptionalLong> ids = new ArrayList<>();
 		byte[] all = bytes(STREAM);
 		for (int from = 0; from < all.length; from += size) {
 			frames.feed(java.util.Arrays.copyOfRange(all, from, Math.min(all.length, from + size)));
-			for (EventFrames.Event event = frames.next(); event != null; event = frames.next()) {
+			for (ServerSentEventParser.Event event = frames.next(); event != null; event = frames.next()) {
 				events.add(new String(event.bytes(), StandardCharsets.UTF_8));
 				ids.add(event.id());
 			}
@@ -41,8 +41,8 @@
 	}
 
 	@Test
-	void breakWithinAnEventIsSeen() {
-		EventFrames frames = new EventFrames();
+	void truncatedEventIsDetected() {
+		ServerSentEventParser frames = new ServerSentEventParser();
 		frames.feed(bytes("id: 1\ndata: a\n\nid: 2\nda"));
 		assertThat(frames.next().id()).isEqualTo(OptionalLong.of(1));
 		assertThat(frames.next()).isNull();
@@ -50,8 +50,8 @@
 	}
 
 	@Test
-	void eventThatNeverEndsIsRefused() {
-		assertThat(new EventFrames().feed(new byte[EventFrames.MAX_EVENT + 1])).isFalse();
+	void tooLongEventIsRejected() {
+		assertThat(new ServerSentEventParser().feed(new byte[ServerSentEventParser.MAX_EVENT_BYTES + 1])).isFalse();
 	}
 
 }
--- a/daemon/src/test/java/org/acaciacourse/daemon/route/LoadGossipTests.java
+++ b/daemon/src/test/java/org/acaciacourse/daemon/route/LoadGossipTests.java
@@ -90,21 +90,21 @@
 	// An entry whose policy has no digests takes none, whatever the others send; the
 	// next policy has it listen again.
 	@Test
-	void entryWithoutDigestsTakesNone() throws Exception {
+	void entryWithDigestsDisabledIgnoresThem() throws Exception {
 		PoolStates first = pools();
 		PoolStates second = pools();
 		LoadGossip sender = gossip(first);
-		LoadGossip silent = gossip(second);
+		LoadGossip disabled = gossip(second);
 		Set<RoutingMechanism> off = Set.of(RoutingMechanism.LOAD_DIGESTS, RoutingMechanism.PARTS_TOLD);
-		PoolStates heard = pools();
-		LoadGossip receiver = gossip(heard);
+		PoolStates third = pools();
+		LoadGossip receiver = gossip(third);
 		onLoop(() -> {
 			second.policy(new RoutingPolicy("without-digests", off, Map.of()));
-			sender.peers(List.of(peer(silent), peer(receiver)));
+			sender.peers(List.of(peer(disabled), peer(receiver)));
 			begin(first, "i-1", PromptShape.NONE);
 			return null;
 		});
-		awaitDigest(heard);
+		awaitDigest(third);
 		// Both were sent at once, the other one first: what has arrived is read by the
 		// next turns of the loop.
 		onLoop(() -> null);
@@ -120,7 +120,7 @@
 	// An entry sends a long prompt to one of two endpoints. The other entry has nothing
 	// under way; without a word from the first it would send there too every other time.
 	@Test
-	void otherEntryAvoidsTheEndpointThatIsBusy() throws Exception {
+	void peerAvoidsBusyEndpoint() throws Exception {
 		PoolStates first = pools();
 		PoolStates second = pools();
 		LoadGossip sender = gossip(first);
@@ -132,9 +132,9 @@
 		});
 		awaitDigest(second);
 		for (long salt = 0; salt < 20; salt++) {
-			Placement asked = new Placement(PromptShape.NONE, false, false, salt, Set.of());
+			Placement placement = new Placement(PromptShape.NONE, false, false, salt, Set.of());
 			String chosen = onLoop(
-					() -> second.state("pool").balancer().choose(asked, System.nanoTime()).get().instance());
+					() -> second.state("pool").balancer().choose(placement, System.nanoTime()).get().instance());
 			assertThat(chosen).isEqualTo("i-2");
 		}
 	}
@@ -142,17 +142,17 @@
 	// An entry has had an endpoint read a part. The other entry would have the part read
 	// once more at the endpoint of its own choice, were it not told.
 	@Test
-	void otherEntryGoesWhereThePartIsHeld() throws Exception {
+	void peerPrefersEndpointThatHoldsPromptPart() throws Exception {
 		PoolStates first = pools();
 		PoolStates second = pools();
 		LoadGossip sender = gossip(first);
 		LoadGossip receiver = gossip(second);
 		PromptShape prompt = new PromptShape(14_000, 1,
 				List.of(new PromptShape.Part(7, 13_000), new PromptShape.Part(8, 1_000)));
-		Placement asked = new Placement(prompt, true, false, 1, Set.of());
+		Placement placement = new Placement(prompt, true, false, 1, Set.of());
 		Callable<String> choice = () -> second.state("pool")
 			.balancer()
-			.choose(asked, System.nanoTime())
+			.choose(placement, System.nanoTime())
 			.get()
 			.instance();
 		String other = (onLoop(choice).equals("i-1")) ? "i-2" : "i-1";
@@ -168,7 +168,7 @@
 
 	// What another process sends there by mistake must not end the loop of all requests.
 	@Test
-	void datagramThatIsNoDigestIsPassedOver() throws Exception {
+	void invalidDatagramIsIgnored() throws Exception {
 		PoolStates pools = pools();
 		LoadGossip receiver = gossip(pools);
 		try (DatagramSocket socket = new DatagramSocket()) {
@@ -176,8 +176,8 @@
 			LoadDigestRecord damaged = new LoadDigestRecord(1, List.of());
 			damaged.setUses(List.of(new PartUseRecord(1, 2, -3)));
 			byte[] negative = ThriftBytes.encode(damaged);
-			byte[] sound = ThriftBytes.encode(new LoadDigestRecord(2, List.of(new EndpointLoadRecord(5, 1, 9, 0))));
-			for (byte[] bytes : List.of(noise, negative, sound)) {
+			byte[] valid = ThriftBytes.encode(new LoadDigestRecord(2, List.of(new EndpointLoadRecord(5, 1, 9, 0))));
+			for (byte[] bytes : List.of(noise, negative, valid)) {
 				socket.send(new DatagramPacket(bytes, bytes.length, receiver.boundAddress()));
 			}
 		}
--- a/daemon/src/test/java/org/acaciacourse/daemon/route/RouteMetricsTests.java
+++ b/daemon/src/test/java/org/acaciacourse/daemon/route/RouteMetricsTests.java
@@ -37,9 +37,9 @@
 
 	@Test
 	void endsAreCountedByCodePoolKindAndPriority() throws IOException {
-		this.metrics.ended(ROUTE, "engines", ResultCode.OK);
-		this.metrics.ended(ROUTE, "engines", ResultCode.OK);
-		this.metrics.refused(ResultCode.NOT_READY);
+		this.metrics.requestEnded(ROUTE, "engines", ResultCode.OK);
+		this.metrics.requestEnded(ROUTE, "engines", ResultCode.OK);
+		this.metrics.requestRefused(ResultCode.NOT_READY);
 		assertThat(page()).contains(
 				"acaciacourse_routed_requests_total{code=\"0\",kind=\"stream\",pool=\"engines\",priority=\"2\"} 2.0");
 		assertThat(page()).contains("code=\"" + ResultCode.NOT_READY.number() + "\",kind=\"none\"");
@@ -52,7 +52,7 @@
 	}
 
 	@Test
-	void snapshotIsShownAsGauges() throws IOException {
+	void snapshotIsExposedAsGauges() throws IOException {
 		this.metrics.gauges()
 			.publish(new RouteGauges.Snapshot(3, 5, 7, 12, 1.5, 6, Map.of("engines", new RouteGauges.Pool(2, 4, 6.5)),
 					new RoutingPolicy("p", Set.of(RoutingMechanism.PAUSES), Map.of())));
@@ -65,17 +65,17 @@
 	}
 
 	@Test
-	void processIsShownToo() throws IOException {
+	void processMetricsAreExposed() throws IOException {
 		assertThat(page()).contains("jvm_memory_used_bytes{area=\"heap\"}");
 		assertThat(page()).contains("acaciacourse_log_lines_dropped_total 0.0");
 	}
 
 	@Test
-	void everyMetricStandsInThePageForThoseOnCall() throws IOException {
-		String onCall = Files.readString(Path.of("..", "docs", "OPERATIONS.md"));
+	void everyMetricIsDocumented() throws IOException {
+		String operations = Files.readString(Path.of("..", "docs", "OPERATIONS.md"));
 		this.metrics.registry().scrape().forEach((metric) -> {
 			String name = metric.getMetadata().getPrometheusName();
-			assertWithMessage(name).that(onCall).contains(name);
+			assertWithMessage(name).that(operations).contains(name);
 		});
 	}
 
