--- a/daemon/src/main/java/org/acaciacourse/daemon/route/Attempt.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/route/Attempt.java
@@ -24,27 +24,31 @@
 import org.acaciacourse.daemon.telemetry.LogEvent;
 
 /**
- * One attempt of a routed request at one endpoint. Judges what comes back: an answer
- * counts only under the request's id, with the endpoint's seal, and to its end.
+ * One attempt of a routed request at one endpoint. Validates the response: it is accepted
+ * only if it carries the request's id and the endpoint's seal and is complete.
  * <p>
  * Not thread safe: belongs to the event loop.
  */
 final class Attempt implements EndpointConnection.Listener {
 
-	/** The largest body that is collected; streams are passed on as they come. */
+	/**
+	 * The largest response body that is buffered; streams are forwarded as they arrive.
+	 */
 	private static final int MAX_BODY_BYTES = 32 * 1024 * 1024;
 
 	/**
-	 * A service that took twice its target is slow or lost; its slowest calls take less.
+	 * A service that has not responded within twice its target is slow or lost; its
+	 * slowest calls take less.
 	 */
 	private static final int SILENCE_TARGET_FACTOR = 2;
 
 	/**
-	 * Prompts are read at some 60 tokens in a millisecond; half of that in a full batch.
+	 * Engines read about 60 prompt tokens per millisecond, and half of that with a full
+	 * batch.
 	 */
 	private static final long PROMPT_TOKENS_PER_MILLI = 30;
 
-	/** Misdirected request: the address belongs to another instance now. */
+	/** HTTP 421: the address belongs to another instance now. */
 	private static final int MISDIRECTED_REQUEST = 421;
 
 	private final RoutedExchange exchange;
@@ -74,9 +78,9 @@
 	}
 
 	/**
-	 * Return what was believed to wait at the endpoint when it was chosen.
-	 * @return the work in prompt tokens, that of this request included unless all others
-	 * go before it
+	 * Return the estimated work that was waiting at the endpoint when it was chosen.
+	 * @return the work in prompt tokens, that of this request included unless all other
+	 * requests are served before it
 	 */
 	long workAhead() {
 		return this.placed.workAhead();
@@ -84,7 +88,7 @@
 
 	/**
 	 * Send the request.
-	 * @param endpointConnection the connection
+	 * @param endpointConnection the connection to send it over
 	 * @param httpRequest the request
 	 */
 	void send(EndpointConnection endpointConnection, FullHttpRequest httpRequest) {
@@ -95,7 +99,7 @@
 		endpointConnection.send(httpRequest, this);
 	}
 
-	/** Give the attempt up; its endpoint sees the connection close. */
+	/** Cancel the attempt and close its connection, which the endpoint sees. */
 	void cancel() {
 		if (!this.done) {
 			finish(Outcome.UNKNOWN);
@@ -106,9 +110,9 @@
 	}
 
 	/**
-	 * End the attempt without an answer.
-	 * @param end how
-	 * @param outcome what that tells of the endpoint
+	 * End the attempt without a response.
+	 * @param end how it ended
+	 * @param outcome what the end says about the endpoint
 	 */
 	void end(AttemptEnd end, Outcome outcome) {
 		if (this.done) {
@@ -264,11 +268,13 @@
 				this.partial.headers, this.partial.body.toByteArray());
 		int status = this.partial.status;
 		if (this.exchange.response().isStarted()) {
-			// A stream was to go on here, and this is none.
+			// The caller's stream is to be resumed here, and this response is not a
+			// stream.
 			end(AttemptEnd.FAILED, Outcome.FAILED);
 		}
 		else if (promisesNotRun(status)) {
-			// Passed on, the status would promise that the request was not run.
+			// If it were forwarded, the status would promise that the request was not
+			// run.
 			end(AttemptEnd.FAILED, Outcome.FAILED);
 		}
 		else if (status >= 500) {
@@ -295,9 +301,9 @@
 		end(AttemptEnd.BROKEN, Outcome.LOST);
 	}
 
-	// A connection can go silent for good, and an endpoint can be cut off, without
-	// anything that TCP reports in time. Only a request that may run again is moved: any
-	// other one waits for its answer until its time is over.
+	// A connection can stall for good and an endpoint can be cut off without TCP
+	// reporting it in time. Only an idempotent request is moved to another endpoint; any
+	// other request waits for its response until its deadline.
 	private void scheduleSilenceCheck(long delayNanos) {
 		if (this.exchange.request().route().isIdempotent() && policy().isOn(RoutingMechanism.REPLACED_ATTEMPTS)) {
 			this.silenceCheck = this.exchange.context()
@@ -342,14 +348,15 @@
 		}
 		long millis = Math.round(policy().value(RoutingParameter.ENGINE_SILENCE));
 		if (!this.placed.isStreaming()) {
-			// With many entries each hears little of an engine that is busy with the
-			// prompts of the others: what waits there must not count as silence.
+			// With many entry VMs, each one receives little data from an engine that is
+			// busy with the prompts of the others. The time to read the waiting prompts
+			// must not count as silence.
 			millis += this.placed.waitingWork() / PROMPT_TOKENS_PER_MILLI;
 		}
 		return TimeUnit.MILLISECONDS.toNanos(millis);
 	}
 
-	/** What the answer looks like, and what of it came so far. */
+	/** The kind of the response and the part of it received so far. */
 	private static final class PartialResponse {
 
 		private final ServerSentEventParser parser = new ServerSentEventParser();
--- a/daemon/src/main/java/org/acaciacourse/daemon/route/EndpointConnection.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/route/EndpointConnection.java
@@ -17,13 +17,13 @@
 import io.netty.util.ReferenceCountUtil;
 
 /**
- * One connection to an endpoint, which serves one request at a time. It is strict: a
- * connection on which anything comes that no request waits for, whose answer is damaged,
- * or whose request was not written to its end is never used again. What a faulty endpoint
- * sends after an answer would otherwise be taken for the next answer.
+ * One connection to an endpoint, which carries one request at a time. A connection is
+ * never used again if data arrives on it that no request waits for, if a response on it
+ * is malformed, or if a request was not written completely. Otherwise, data that a faulty
+ * endpoint sends after a response would be taken for the next response.
  * <p>
- * An answer without a length ends with its connection; it is whole only if the endpoint
- * closed the connection in order, not if it was reset.
+ * A response without a length ends with its connection; it is complete only if the
+ * endpoint closed the connection in order, not if the connection was reset.
  * <p>
  * Not thread safe: belongs to the event loop of the connection.
  */
@@ -52,7 +52,7 @@
 	private long idleNanosBeforeRequest;
 
 	/**
-	 * Make a link.
+	 * Create a connection handler.
 	 * @param onClosed called when the connection is closed
 	 */
 	EndpointConnection(Consumer<EndpointConnection> onClosed) {
@@ -65,7 +65,7 @@
 	}
 
 	/**
-	 * Return whether the connection may take a request.
+	 * Return whether the connection may carry a request.
 	 * @param now the time in nanoseconds
 	 * @return whether it is open, idle, and not about to be closed by its endpoint
 	 */
@@ -74,29 +74,29 @@
 	}
 
 	/**
-	 * The connection rests.
+	 * Mark the connection as idle.
 	 * @param now the time in nanoseconds
-	 * @param until until when it may be used
+	 * @param until the time until which it may be used
 	 */
 	void markIdle(long now, long until) {
 		this.idleSince = now;
 		this.usableUntil = until;
 	}
 
-	// How long it has been idle.
+	// Returns how long the connection has been idle.
 	long idleNanos(long now) {
 		return now - this.idleSince;
 	}
 
-	// How long it had been idle before the request that it serves.
+	// Returns how long the connection had been idle before its latest request.
 	long idleNanosBeforeRequest() {
 		return this.idleNanosBeforeRequest;
 	}
 
 	/**
 	 * Send a request.
-	 * @param request the request, taken over
-	 * @param responseListener gets what comes back
+	 * @param request the request, whose ownership passes to the connection
+	 * @param responseListener receives the response
 	 */
 	void send(FullHttpRequest request, Listener responseListener) {
 		this.listener = responseListener;
@@ -107,7 +107,8 @@
 	}
 
 	/**
-	 * Give up what is under way and close the connection; the listener hears no more.
+	 * Give up the request in flight and close the connection; the listener is not called
+	 * again.
 	 */
 	void abandon() {
 		this.listener = null;
@@ -128,7 +129,7 @@
 
 	private void read(HttpObject part) {
 		if (this.listener == null || part.decoderResult().isFailure()) {
-			// Bytes that no request waits for, or that are no answer.
+			// Data that no request waits for, or that is not a valid response.
 			fail();
 			return;
 		}
@@ -177,8 +178,8 @@
 			return;
 		}
 		this.listener = null;
-		// An endpoint may answer before it has read the request to its end. The next
-		// request would then be written behind a rest that is still on its way.
+		// An endpoint may respond before it has read the whole request. The next request
+		// would then be written behind the rest of this one, which is still being sent.
 		boolean reusable = !this.closeAfterResponse && this.requestWritten.isSuccess() && this.channel.isActive();
 		if (!reusable) {
 			this.channel.close();
@@ -215,37 +216,33 @@
 	}
 
 	/**
-	 * Gets what comes back for one request: a head, contents, and either an end or a
-	 * break, once.
+	 * Receives the response to one request: a head, parts of the body, and then exactly
+	 * one of completion and failure.
 	 */
 	interface Listener {
 
 		/**
-		 * The head of the answer.
+		 * The head of the response was received.
 		 * @param head status and headers
 		 */
 		void headReceived(HttpResponse head);
 
 		/**
-		 * A part of the body.
+		 * A part of the body was received.
 		 * @param bytes the bytes, valid during the call
 		 */
 		void contentReceived(ByteBuf bytes);
 
-		/**
-		 * All that came with one read was handed over.
-		 */
+		/** All data of one read from the socket was handed over. */
 		void readComplete();
 
 		/**
-		 * The answer came to its end.
-		 * @param reusable whether the connection may serve another request
+		 * The response is complete.
+		 * @param reusable whether the connection may carry another request
 		 */
 		void responseComplete(boolean reusable);
 
-		/**
-		 * The connection ended, or what came is no answer.
-		 */
+		/** The connection ended, or the data received is not a valid response. */
 		void connectionFailed();
 
 	}
--- a/daemon/src/main/java/org/acaciacourse/daemon/route/EndpointConnections.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/route/EndpointConnections.java
@@ -25,32 +25,30 @@
 import org.acaciacourse.daemon.inner.InnerConnection;
 
 /**
- * The connections to the endpoints, kept by instance: an address may belong to another
- * instance tomorrow, and a connection that went to the one before must not serve it.
- * Invariant: an idle connection is in one list and serves nobody.
+ * The connections to the endpoints, kept by instance: an address may be reassigned to
+ * another instance, and a connection to the previous instance must not serve it.
+ * Invariant: an idle connection is in exactly one list and serves no request.
  * <p>
  * Not thread safe: belongs to one event loop.
  */
 final class EndpointConnections {
 
-	/**
-	 * A SYN or its answer takes milliseconds; one that was dropped is sent again after a
-	 * second.
-	 */
+	/** A SYN and its reply take milliseconds; a lost SYN is sent again after a second. */
 	private static final int CONNECT_TIMEOUT_MILLIS = 600;
 
 	/**
-	 * How long an idle connection is used when its endpoint does not tell how long it
+	 * How long an idle connection is used if its endpoint does not state for how long it
 	 * keeps it. Shorter than the idle timeouts of common servers.
 	 */
 	private static final long DEFAULT_IDLE_NANOS = TimeUnit.SECONDS.toNanos(4);
 
 	/**
-	 * An idle connection is not used in the last part of the time that its endpoint told.
+	 * The share of the idle timeout stated by an endpoint during which a connection is
+	 * used.
 	 */
 	private static final double IDLE_TIMEOUT_SHARE = 0.8;
 
-	/** With three probes a second apart a dead peer is found within four seconds. */
+	/** With three probes a second apart, a dead peer is detected within four seconds. */
 	private static final int KEEPALIVE_SECONDS = 1;
 
 	private static final int KEEPALIVE_PROBES = 3;
@@ -74,9 +72,10 @@
 	}
 
 	/**
-	 * Get a connection: an idle one, the latest used first, or a new one.
+	 * Get a connection: the most recently used idle one, or else a new one.
 	 * @param endpoint the endpoint
-	 * @param onReady gets the connection, or why there is none; possibly within this call
+	 * @param onReady receives the connection, or the reason why there is none; possibly
+	 * called before this method returns
 	 */
 	void acquire(FleetEndpoint endpoint, Consumer<Try<EndpointConnection>> onReady) {
 		Optional<EndpointConnection> idle = takeIdle(endpoint);
@@ -129,7 +128,7 @@
 	}
 
 	/**
-	 * Take a connection back whose answer was received to its end.
+	 * Take back a connection after a complete response.
 	 * @param endpoint its endpoint
 	 * @param connection the connection
 	 */
@@ -140,18 +139,18 @@
 	}
 
 	/**
-	 * Note how long an endpoint keeps idle connections.
+	 * Set how long an endpoint keeps idle connections.
 	 * @param endpoint the endpoint
-	 * @param seconds the time that it told
+	 * @param seconds the time that the endpoint stated
 	 */
 	void setIdleTimeout(FleetEndpoint endpoint, int seconds) {
 		this.idleTimeoutNanos.put(endpoint.instance(), (long) (TimeUnit.SECONDS.toNanos(seconds) * IDLE_TIMEOUT_SHARE));
 	}
 
 	/**
-	 * A request was lost without any answer.
+	 * Record that a request was lost without any response.
 	 * @param endpoint its endpoint
-	 * @param connection the connection that it was sent over
+	 * @param connection the connection that the request was sent over
 	 * @param tookNanos nanoseconds from the request to the loss
 	 */
 	void requestLost(FleetEndpoint endpoint, EndpointConnection connection, long tookNanos) {
@@ -165,7 +164,7 @@
 	/**
 	 * Return whether a request can be sent without a new connection.
 	 * @param instance the endpoint's instance
-	 * @return whether an idle connection is kept
+	 * @return whether there is an idle connection
 	 */
 	boolean hasIdle(String instance) {
 		Deque<EndpointConnection> connections = this.idleConnections.get(instance);
@@ -184,9 +183,9 @@
 	}
 
 	/**
-	 * Close the idle connections to endpoints that are gone, and those whose time is
-	 * over.
-	 * @param isInFleet tells whether an instance is in the fleet
+	 * Close the idle connections to endpoints that have left the fleet, and those that
+	 * have expired.
+	 * @param isInFleet returns whether an instance is in the fleet
 	 */
 	void sweep(Predicate<String> isInFleet) {
 		long now = System.nanoTime();
--- a/daemon/src/main/java/org/acaciacourse/daemon/route/ExchangeTelemetry.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/route/ExchangeTelemetry.java
@@ -11,16 +11,17 @@
 import org.acaciacourse.daemon.telemetry.LogEvent;
 
 /**
- * What is written down of one routed request: metrics, a line if it ends otherwise than
- * with a whole answer in time, and one for a sample of all answers.
+ * Metrics and log lines of one routed request: a line if it fails or its response is
+ * late, and one for a sample of all complete responses.
  * <p>
  * Not thread safe: belongs to the event loop.
  */
 final class ExchangeTelemetry {
 
 	/**
-	 * A line for each answer would take more processor time than the answers; the ids are
-	 * spread evenly, so that those told are a fair sample.
+	 * One line per response would take more processor time than the responses. The hashes
+	 * of the request ids are spread evenly, so that the logged responses are a fair
+	 * sample.
 	 */
 	private static final int RESPONSES_PER_LINE = 200;
 
@@ -55,15 +56,14 @@
 		this.deadlineAt = deadlineAt;
 	}
 
-	// The request has an endpoint.
+	// The request was assigned to an endpoint.
 	void placed(long now) {
 		this.placedAt = now;
 		this.context.metrics().requestPlaced(this.request.route(), now - this.startedAt);
 	}
 
-	// The request is written to its endpoint, where so many tokens of prompts were
-	// believed
-	// to wait.
+	// The request is written to its endpoint, where an estimated number of prompt tokens
+	// was waiting.
 	void sent(String instance, int urgency, long tokensAhead, long now) {
 		this.sentAt = now;
 		this.sentTo = instance;
@@ -71,7 +71,7 @@
 		this.workAhead = tokensAhead;
 	}
 
-	// The request is sent once more, and so much of the budget is left then.
+	// The request is sent again; "left" is the rest of the retry budget after that.
 	void retried(String instance, double left) {
 		PoolStates.Sharing sharing = this.context.pools().sharing();
 		DecisionLog.write(LogEvent.RETRY, this.request.facts().id(), this.request.pool(), instance,
@@ -80,13 +80,13 @@
 		this.context.metrics().retried(this.request.pool());
 	}
 
-	// The first part of the answer is passed on.
+	// The first part of the response is forwarded.
 	void responseStarted(long now) {
 		this.responseStartedAt = now;
 		this.context.metrics().responseStarted(this.request.route(), now - this.startedAt);
 	}
 
-	// An event is passed on.
+	// An event is forwarded.
 	void eventForwarded(long now) {
 		if (this.lastEventAt != 0) {
 			this.longestGap = Math.max(this.longestGap, now - this.lastEventAt);
@@ -94,7 +94,7 @@
 		this.lastEventAt = now;
 	}
 
-	// The whole answer was passed on.
+	// The complete response was forwarded.
 	void responseComplete(RequestProgress progress) {
 		if (this.lastEventAt != 0) {
 			this.context.metrics().longestGap(this.request.route(), this.longestGap);
@@ -132,11 +132,11 @@
 	}
 
 	/**
-	 * The request ended otherwise.
+	 * The request ended without a complete response from an endpoint.
 	 * @param code the reason
 	 * @param detail the reason in words
 	 * @param progress the attempts
-	 * @param retryAfter when the caller was told to come back
+	 * @param retryAfter the delay after which the caller was asked to retry
 	 */
 	void failed(ResultCode code, String detail, RequestProgress progress, Duration retryAfter) {
 		long now = System.nanoTime();
--- a/daemon/src/main/java/org/acaciacourse/daemon/route/FleetFallback.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/route/FleetFallback.java
@@ -13,9 +13,9 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Reads the platform's list on an entry VM while no control VM tells the fleet: without
- * control, endpoints come and leave all the same, and requests to those that left would
- * be lost.
+ * Reads the platform's endpoint list on an entry VM while no control VM reports the
+ * fleet. Endpoints join and leave without control, too, and requests to those that left
+ * would be lost.
  * <p>
  * Thread safe.
  */
@@ -24,8 +24,9 @@
 	private static final Logger LOGGER = LogManager.getLogger(FleetFallback.class);
 
 	/**
-	 * After how long without word from control. An endpoint that is leaving takes
-	 * requests for 3 s after the list shows it, which the list does some 0.8 s late.
+	 * Time without a report from control after which the list is read. An endpoint that
+	 * is leaving accepts requests for 3 s after the platform lists it as leaving, and the
+	 * list lags by about 0.8 s.
 	 */
 	private static final long CONTROL_SILENCE_NANOS = TimeUnit.MILLISECONDS.toNanos(1_600);
 
@@ -55,7 +56,7 @@
 	}
 
 	/**
-	 * A control VM told the fleet.
+	 * Note that a control VM reported the fleet.
 	 * @param fleet the fleet
 	 */
 	void fleetConfirmed(Fleet fleet) {
--- a/daemon/src/main/java/org/acaciacourse/daemon/route/HeldRequests.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/route/HeldRequests.java
@@ -11,23 +11,30 @@
 import org.acaciacourse.daemon.http.CallerResponse;
 
 /**
- * Requests that came before the first configuration. After all VMs were lost at once a
- * process is there a second before the configuration is: refused, most callers would come
- * back too early once more and give up. Held for a short part of their time they are
- * served late instead.
+ * Requests that arrived before the first configuration. After a loss of all VMs at once,
+ * a process is up about a second before it has the configuration. If requests were
+ * refused during that time, most callers would retry too early once more and then give
+ * up. Requests are held for a short part of the time that their caller waits and are then
+ * served late.
  * <p>
  * Not thread safe: belongs to the event loop.
  */
 final class HeldRequests {
 
-	/** A control VM is found and the newest configuration known within this time. */
+	/**
+	 * Within this time a control VM is found and the latest configuration is received.
+	 */
 	private static final long MAX_HOLD_MILLIS = 1_500;
 
-	/** As a part of the time that the caller waits, so that it can still come back. */
+	/**
+	 * Requests are held for at most this fraction of the time that the caller waits, so
+	 * that the caller can still retry.
+	 */
 	private static final int CALLER_TIMEOUT_DIVISOR = 3;
 
 	/**
-	 * Bounds the memory; more than come to a VM in that time at ten times the usual load.
+	 * Bounds the memory used. More than the requests that arrive at a VM within the
+	 * longest hold time at ten times the usual load.
 	 */
 	private static final int MAX_HELD_REQUESTS = 500;
 
@@ -42,10 +49,10 @@
 	/**
 	 * Hold a request.
 	 * @param request the request
-	 * @param response takes its answer
+	 * @param response takes its response
 	 * @param callerTimeoutMillis how long its caller waits
-	 * @param refuse refuses it once it was held for too long
-	 * @return false if too many are held already
+	 * @param refuse refuses the request when it was held for too long
+	 * @return false if too many requests are held already
 	 */
 	boolean hold(CallerRequest request, CallerResponse response, long callerTimeoutMillis, Runnable refuse) {
 		if (this.held.size() >= MAX_HELD_REQUESTS) {
@@ -65,8 +72,8 @@
 	}
 
 	/**
-	 * Hand all held requests on, in the order in which they came.
-	 * @param handler gets each request
+	 * Pass on all held requests in the order in which they arrived.
+	 * @param handler receives each request
 	 */
 	void release(Consumer<HeldRequest> handler) {
 		List<HeldRequest> all = List.copyOf(this.held);
@@ -77,14 +84,14 @@
 		});
 	}
 
-	/** A request that came too early. */
+	/** A request that is held until there is a configuration. */
 	static final class HeldRequest {
 
 		private final CallerRequest request;
 
 		private final CallerResponse response;
 
-		// The time of a request runs while it is held.
+		// The time that a request is held counts towards its deadline.
 		private final long arrivedAt = System.nanoTime();
 
 		private ScheduledFuture<?> timeout;
--- a/daemon/src/main/java/org/acaciacourse/daemon/route/HopByHopHeaders.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/route/HopByHopHeaders.java
@@ -10,13 +10,16 @@
 import org.acaciacourse.core.ini.CommaList;
 
 /**
- * Parts the headers of a message from those of its connection (RFC 9110, section 7.6.1).
+ * Separates the end-to-end headers of a message from those that are hop-by-hop (RFC 9110,
+ * section 7.6.1).
  * <p>
  * Thread safe: it has no state.
  */
 final class HopByHopHeaders {
 
-	/** Lengths and encodings are written anew for each connection. */
+	/**
+	 * Includes headers on length and encoding, as these are set anew for each connection.
+	 */
 	private static final Set<String> HOP_BY_HOP = Set.of("connection", "keep-alive", "proxy-connection",
 			"proxy-authenticate", "proxy-authorization", "te", "trailer", "transfer-encoding", "upgrade",
 			"content-length", "expect");
@@ -25,9 +28,9 @@
 	}
 
 	/**
-	 * Copy the headers that are meant for the other end.
+	 * Copy the end-to-end headers.
 	 * @param headers all headers
-	 * @return a copy without those of the connection and those that it names
+	 * @return a copy without the hop-by-hop headers and those listed in "Connection"
 	 */
 	static HttpHeaders endToEnd(HttpHeaders headers) {
 		Set<String> listedInConnection = new TreeSet<>(String.CASE_INSENSITIVE_ORDER);
--- a/daemon/src/main/java/org/acaciacourse/daemon/route/LoadGossip.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/route/LoadGossip.java
@@ -31,8 +31,8 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Carries the exchange of loads between entry VMs ({@link LoadExchange}) by datagrams: a
- * late digest is worth nothing, so that one which is lost is not sent again.
+ * Transports the load digests of {@link LoadExchange} between entry VMs as UDP datagrams.
+ * A late digest is of no use, so that lost ones are not sent again.
  * <p>
  * Not thread safe: belongs to the event loop.
  */
@@ -40,7 +40,7 @@
 
 	private static final Logger logger = LogManager.getLogger(LoadGossip.class);
 
-	/** Whoever sends datagrams that are no digests may send many. */
+	/** A sender of datagrams that are not digests may send many of them. */
 	private static final int MAX_DROP_LINES_PER_SECOND = 1;
 
 	private final EventLoop loop;
@@ -65,11 +65,11 @@
 		this.loop = loop;
 		this.pools = pools;
 		this.address = InnerConnection.parse(self.address());
-		// A VM that starts again begins above what it sent in its life before.
+		// After a restart, sequence numbers start above those sent before.
 		this.exchange = new LoadExchange(self, pools.peers(), System.currentTimeMillis() * 1_000, System.nanoTime());
 	}
 
-	/** Begin to send and to take. */
+	/** Begin to send and receive digests. */
 	void start() {
 		ChannelFuture bound = new Bootstrap().group(this.loop)
 			.channel(NioDatagramChannel.class)
@@ -87,14 +87,14 @@
 
 	/**
 	 * Set which VMs exchange their load.
-	 * @param peers the live ones
+	 * @param peers the live VMs
 	 */
 	void peers(List<LoadPeer> peers) {
 		this.exchange.peers(peers);
 		this.addresses.keySet().retainAll(peers.stream().map(LoadPeer::address).toList());
 	}
 
-	// The bound address, for those that send here.
+	// Returns the bound address, to which peers send their digests.
 	InetSocketAddress boundAddress() {
 		return (InetSocketAddress) this.channel.localAddress();
 	}
@@ -171,7 +171,8 @@
 
 	@Override
 	public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-		// A port that nobody listens on shows here; the next list of peers leaves it out.
+		// Happens when no process listens on the peer's port; the next list of peers
+		// leaves that peer out.
 		logger.debug("a digest was not delivered", cause);
 	}
 
--- a/daemon/src/main/java/org/acaciacourse/daemon/route/PoolQueue.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/route/PoolQueue.java
@@ -6,22 +6,22 @@
 import org.acaciacourse.core.balance.PlacementQueue;
 
 /**
- * Offers the waiting requests of a pool to its endpoints in their order: when one
- * arrives, and again after a few milliseconds while any waits.
+ * Tries to place the waiting requests of a pool on its endpoints in their order: when a
+ * request arrives, and every few milliseconds while any request waits.
  * <p>
  * Not thread safe: belongs to the event loop.
  */
 final class PoolQueue {
 
 	/**
-	 * An engine reads a thousand tokens in this time; more often finds little that is
-	 * new.
+	 * An engine reads about a thousand tokens in this time; with a shorter interval
+	 * little would have changed between two runs.
 	 */
 	private static final long PLACEMENT_INTERVAL_MILLIS = 15;
 
 	/**
-	 * After so many requests that find no place the rest waits for the next step: it is
-	 * less urgent, and the choice takes time.
+	 * A run stops after this number of requests that could not be placed: the remaining
+	 * ones are less urgent, and choosing an endpoint takes processor time.
 	 */
 	private static final int MAX_MISSES = 6;
 
--- a/daemon/src/main/java/org/acaciacourse/daemon/route/PoolStates.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/route/PoolStates.java
@@ -26,16 +26,16 @@
 import org.acaciacourse.daemon.telemetry.LogEvent;
 
 /**
- * What an entry VM knows of each pool. A pool's state outlives the manifest that named
- * it, so that a budget that was spent is not full again after a change and back.
+ * The state of each pool on an entry VM. The state outlives the manifest that declared
+ * the pool, so that a spent budget is not full again after a change and its reversal.
  * <p>
  * Not thread safe: belongs to the event loop.
  */
 final class PoolStates {
 
 	/**
-	 * The part of an endpoint's connections that all entries together use, so that those
-	 * of an entry that is not counted yet find room.
+	 * The share of an endpoint's connections that all entry VMs together use. The rest is
+	 * for entry VMs that are not counted yet.
 	 */
 	private static final double CONNECTION_SHARE = 0.8;
 
@@ -68,10 +68,10 @@
 	private RoutingPolicy policy = RoutingPolicy.DEFAULT;
 
 	/**
-	 * Make the states.
+	 * Create the states.
 	 * @param loop the event loop
 	 * @param retryBudget the retry budget
-	 * @param hasIdleConnection tells whether an idle connection to an instance is kept
+	 * @param hasIdleConnection returns whether there is an idle connection to an instance
 	 */
 	PoolStates(EventLoop loop, RetryRule retryBudget, Predicate<String> hasIdleConnection) {
 		this.loop = loop;
@@ -80,7 +80,7 @@
 	}
 
 	/**
-	 * Take the pools of a table.
+	 * Apply the pools of a table.
 	 * @param table the table in force
 	 */
 	void table(RouteTable table) {
@@ -97,7 +97,7 @@
 	}
 
 	/**
-	 * Set how all pools decide from now on.
+	 * Set the routing policy of all pools.
 	 * @param next the policy
 	 */
 	void policy(RoutingPolicy next) {
@@ -110,7 +110,7 @@
 	}
 
 	/**
-	 * Take a fleet.
+	 * Set the fleet.
 	 * @param next the fleet
 	 */
 	void fleet(Fleet next) {
@@ -131,7 +131,7 @@
 		return this.fleet;
 	}
 
-	// The number of the table in force, 0 before the first one.
+	// Returns the number of the table in force, 0 before the first one.
 	long tableNumber() {
 		return this.tableNumber;
 	}
@@ -141,7 +141,7 @@
 	}
 
 	/**
-	 * Return what this VM has under way at the endpoints of all pools.
+	 * Return the load that this VM itself causes at the endpoints of all pools.
 	 * @return the loads
 	 */
 	List<PeerLoads.Load> localLoads() {
@@ -151,23 +151,25 @@
 	}
 
 	/**
-	 * Take the uses of prompt parts that the other entry VMs do not know of yet.
-	 * @return those of all pools since the last call
+	 * Remove and return the uses of prompt parts that were not reported to the other
+	 * entry VMs yet.
+	 * @return the uses of all pools since the last call
 	 */
 	List<PartUse> drainUnreportedUses() {
 		return this.states.values().stream().flatMap((state) -> state.balancer().takeUntold().stream()).toList();
 	}
 
 	/**
-	 * Another entry VM had an endpoint use a part of a prompt.
-	 * @param use what it tells
+	 * Record that an endpoint used a part of a prompt for another entry VM.
+	 * @param use the reported use
 	 */
 	void recordPeerUse(PartUse use) {
 		this.states.values().forEach((state) -> state.balancer().told(use));
 	}
 
 	/**
-	 * Control told how many entry VMs share budgets and connections.
+	 * Set the number of entry VMs that share budgets and connections, as reported by
+	 * control.
 	 * @param count the number of VMs
 	 */
 	void updateEntryCount(int count) {
@@ -176,20 +178,20 @@
 		refreshSharers();
 	}
 
-	/** Control told the same number of entry VMs again. */
+	/** Note that control reported the same number of entry VMs again. */
 	void confirmEntryCount() {
 		updateEntryCount(this.sharerCount.latest());
 	}
 
-	// Called again and again, as the number falls or is forgotten with time.
+	// Called periodically, as the number falls or expires with time.
 	void refreshSharers() {
 		this.sharers = this.sharerCount.sharers(System.nanoTime());
 		applySharers();
 	}
 
 	/**
-	 * Return by how many VMs the budgets are divided.
-	 * @return the number and what it rests on
+	 * Return the number of VMs among which the retry budgets are divided.
+	 * @return the number, the age of the count and the uptime
 	 */
 	Sharing sharing() {
 		long now = System.nanoTime();
@@ -197,7 +199,7 @@
 				Duration.ofNanos(now - this.startedAt));
 	}
 
-	/** Tell the pools that are divided otherwise than before; called again and again. */
+	/** Log the pools whose division of engines has changed; called periodically. */
 	void logDivisions() {
 		this.states.forEach((pool, state) -> state.balancer().division().ifPresent((next) -> {
 			if (next.engines() != state.loggedEngines && this.declaredPool(pool).map(Pool::isEngine).orElse(false)) {
@@ -217,7 +219,7 @@
 	/**
 	 * Return the state of a pool.
 	 * @param pool the name of the pool
-	 * @return its state, made when it is asked for first
+	 * @return its state, created at the first call
 	 */
 	State state(String pool) {
 		return this.states.computeIfAbsent(pool, (name) -> {
@@ -231,7 +233,7 @@
 	}
 
 	/**
-	 * Return what holds in each pool.
+	 * Return the gauge values of each pool.
 	 * @param now the time
 	 * @return the values by the name of the pool
 	 */
@@ -253,12 +255,12 @@
 	}
 
 	/**
-	 * By how many VMs the retry budgets are divided.
+	 * The number of VMs among which the retry budgets are divided.
 	 *
 	 * @param vms the number of VMs, 0 while it is not known
-	 * @param countAge how long ago control told the number of entries, or the time since
-	 * the start if it never did
-	 * @param uptime the time since this process began to keep account
+	 * @param countAge the time since control last reported the number of entry VMs, or
+	 * since the start if it never did
+	 * @param uptime the time since this process began to account for retries
 	 */
 	record Sharing(int vms, Duration countAge, Duration uptime) {
 	}
@@ -289,7 +291,7 @@
 		}
 
 		/**
-		 * Return what chooses the endpoints.
+		 * Return the balancer, which chooses the endpoints.
 		 * @return the balancer
 		 */
 		PoolBalancer balancer() {
@@ -297,7 +299,7 @@
 		}
 
 		/**
-		 * Return what bounds the retries.
+		 * Return the allowance, which limits the retries.
 		 * @return the allowance
 		 */
 		RetryAllowance allowance() {
@@ -313,10 +315,10 @@
 		}
 
 		/**
-		 * Return whether a target is about the shortest of the pool.
+		 * Return whether a target is among the shortest of the pool.
 		 * @param target the target
-		 * @param factor how much longer than the shortest it may be
-		 * @return whether requests with it belong to the brief ones
+		 * @param factor by which factor it may exceed the shortest target
+		 * @return whether requests with this target are brief ones
 		 */
 		boolean isBrief(Duration target, double factor) {
 			return target.toNanos() <= this.shortestTarget.toNanos() * factor;
--- a/daemon/src/main/java/org/acaciacourse/daemon/route/RequestDialect.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/route/RequestDialect.java
@@ -9,55 +9,56 @@
 import org.acaciacourse.core.balance.PromptShape;
 
 /**
- * Reads and writes what callers and endpoints say in headers. The only place that knows
- * their names.
+ * Reads and writes the request and response headers by which callers, the system and
+ * endpoints exchange metadata. Header names are known only to its implementation.
  * <p>
  * Thread safe: implementations have no state.
  */
 public interface RequestDialect {
 
 	/**
-	 * Read what a caller says of its request.
+	 * Read the metadata in a caller's request.
 	 * @param headers the headers of the request
-	 * @return what it says; a value that can't be read counts as missing
+	 * @return the metadata; a value that can't be parsed counts as missing
 	 */
 	RequestFacts request(HttpHeaders headers);
 
 	/**
-	 * Remove from the headers for an endpoint what may not pass: the customer's key and
-	 * what the system sets itself, whatever the caller sent.
-	 * @param headers the headers, without those of the connection
+	 * Remove the headers that must not reach an endpoint: the customer's key and the
+	 * headers that the system sets itself, in case the caller sent them.
+	 * @param headers the headers, without hop-by-hop ones
 	 */
 	void clean(HttpHeaders headers);
 
 	/**
-	 * Set in the headers for an endpoint what the system says.
-	 * @param facts what it says
-	 * @param headers the cleaned headers
+	 * Add the system's metadata to the headers for an endpoint.
+	 * @param facts the metadata
+	 * @param headers the sanitized headers
 	 */
 	void write(SendFacts facts, HttpHeaders headers);
 
 	/**
-	 * Read what an endpoint says of its answer.
-	 * @param headers the headers of the answer
-	 * @return what it says
+	 * Read the metadata in an endpoint's response.
+	 * @param headers the headers of the response
+	 * @return the metadata
 	 */
 	AnswerFacts answer(HttpHeaders headers);
 
 	/**
-	 * Write when a caller should come back.
-	 * @param delay the time
+	 * Write the delay after which a caller should retry.
+	 * @param delay the delay
 	 * @param headers the headers of a refusal
 	 */
 	void writeRetryAfter(Duration delay, HttpHeaders headers);
 
 	/**
-	 * What a caller says of its request.
+	 * Metadata that a caller sends with its request.
 	 *
-	 * @param id its id, empty if it has none
+	 * @param id the request's id, empty if it has none
 	 * @param key the customer's key, if there is one
-	 * @param callerTimeoutMillis how long the caller will wait, in milliseconds
-	 * @param lastEventId the id of the last event that the caller has, if it resumes
+	 * @param callerTimeoutMillis how long the caller waits, in milliseconds
+	 * @param lastEventId the id of the last event that the caller has received, if it
+	 * resumes a stream
 	 * @param prompt the prompt
 	 */
 	record RequestFacts(String id, Optional<String> key, OptionalLong callerTimeoutMillis, OptionalLong lastEventId,
@@ -65,14 +66,14 @@
 	}
 
 	/**
-	 * What the system says to an endpoint.
+	 * Metadata that the system sends to an endpoint.
 	 *
 	 * @param instance the instance that the request is meant for
 	 * @param customer the customer, if the request has a key
-	 * @param remainingMillis the time that is left, in milliseconds
+	 * @param remainingMillis the time until the deadline, in milliseconds
 	 * @param urgency the rank of the request, 0 is the highest
-	 * @param resumeAfter the id of the last event that the caller has, if the stream goes
-	 * on
+	 * @param resumeAfter the id of the last event that the caller has received, if the
+	 * stream is resumed
 	 * @param engine whether the endpoint is a model engine
 	 */
 	record SendFacts(String instance, Optional<String> customer, long remainingMillis, int urgency,
@@ -80,25 +81,25 @@
 	}
 
 	/**
-	 * What an endpoint says of its answer.
+	 * Metadata that an endpoint sends with its response.
 	 *
-	 * @param requestId the id of the request that it answers, empty if it has none
-	 * @param sealed whether it bears the endpoint's seal
+	 * @param requestId the id of the request that it responds to, empty if it has none
+	 * @param sealed whether it carries the endpoint's seal
 	 * @param notRun whether it states that the request was not run
-	 * @param load the load, if it is told
-	 * @param idleTimeoutSeconds for how long the endpoint keeps the connection idle, if
-	 * it is told
+	 * @param load the load, if it is reported
+	 * @param idleTimeoutSeconds how long the endpoint keeps an idle connection, if it is
+	 * stated
 	 */
 	record AnswerFacts(String requestId, boolean sealed, boolean notRun, Optional<LoadFacts> load,
 			OptionalInt idleTimeoutSeconds) {
 	}
 
 	/**
-	 * The load of an endpoint.
+	 * The load that an endpoint reports.
 	 *
-	 * @param running the requests that run
-	 * @param waiting the requests that wait
-	 * @param slots how many can run
+	 * @param running the number of requests that run
+	 * @param waiting the number of requests that wait
+	 * @param slots how many requests can run at once
 	 */
 	record LoadFacts(int running, int waiting, int slots) {
 	}
--- a/daemon/src/main/java/org/acaciacourse/daemon/route/RetryRule.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/route/RetryRule.java
@@ -3,13 +3,13 @@
 import java.time.Duration;
 
 /**
- * The retry budget that all entry VMs share, for each pool.
+ * The retry budget of each pool, which all entry VMs share.
  * <p>
  * Immutable and thread safe.
  *
- * @param window the length of any span that is counted
- * @param ratio retries for each request in the window
- * @param minimum retries that are permitted whatever the requests are
+ * @param window the length of the time window over which retries are counted
+ * @param ratio retries permitted for each request in the window
+ * @param minimum retries permitted in the window whatever the number of requests
  */
 public record RetryRule(Duration window, double ratio, double minimum) {
 
--- a/daemon/src/main/java/org/acaciacourse/daemon/route/RouteContext.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/route/RouteContext.java
@@ -6,17 +6,17 @@
 import org.acaciacourse.core.code.LineBudget;
 
 /**
- * What all routed requests of an entry VM share.
+ * Objects that all routed requests of an entry VM share.
  * <p>
  * Not thread safe: belongs to the event loop.
  *
  * @param loop the event loop of all requests and connections
  * @param dialect reads and writes headers
  * @param connections the connections to the endpoints
- * @param pools what is known of the pools
- * @param metrics counts the ends of requests
- * @param openExchanges the requests that are not ended
- * @param lateLogLimiter bounds the lines on late answers
+ * @param pools the states of the pools
+ * @param metrics the metrics
+ * @param openExchanges the requests that have not ended
+ * @param lateLogLimiter limits the rate of log lines on late responses
  */
 record RouteContext(EventLoop loop, RequestDialect dialect, EndpointConnections connections, PoolStates pools,
 		RouteMetrics metrics, Set<RoutedExchange> openExchanges, LineBudget lateLogLimiter) {
--- a/daemon/src/main/java/org/acaciacourse/daemon/route/RouteDaemon.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/route/RouteDaemon.java
@@ -43,9 +43,9 @@
 
 /**
  * The daemon of an entry VM for routed requests. One event loop serves callers, endpoints
- * and the decisions between them: on a VM with less than one core, a hand-over between
- * threads costs more than the work that it would share. The link to control and the
- * fallback for the fleet have threads of their own.
+ * and routing decisions: on a VM with less than one core, a hand-over between threads
+ * costs more than the work that it would share. The link to control and the fleet
+ * fallback have threads of their own.
  * <p>
  * Thread safe. Started once and stopped once.
  */
@@ -56,12 +56,12 @@
 	private static final long SWEEP_INTERVAL_MILLIS = 1_000;
 
 	/**
-	 * When health and metrics are shown, from the start on: after a loss of power callers
-	 * wait for the processor time that their server takes.
+	 * Delay of the server for health and metrics after the start: after a loss of power,
+	 * the processor time that it takes to start would delay callers.
 	 */
 	private static final long ADMIN_DELAY_MILLIS = 1_000;
 
-	/** As many as an entry has usual requests. */
+	/** About the usual number of requests per second on an entry VM. */
 	private static final int MAX_LATE_LINES_PER_SECOND = 10;
 
 	private static final Duration READ_TIMEOUT = Duration.ofSeconds(20);
@@ -97,7 +97,7 @@
 
 	private boolean closed;
 
-	// Belongs to the event loop.
+	// Accessed only on the event loop.
 	private long configuredAt = System.nanoTime();
 
 	private volatile HttpLimits limits;
@@ -109,8 +109,8 @@
 	private volatile boolean stopping;
 
 	/**
-	 * Make a daemon.
-	 * @param options what it is started with
+	 * Create a daemon.
+	 * @param options the options
 	 * @param dialect reads and writes headers
 	 * @param controlLink the link to control
 	 */
@@ -131,7 +131,7 @@
 	}
 
 	/**
-	 * Begin to serve.
+	 * Start to serve.
 	 * @throws IOException if an address can't be used
 	 */
 	public void start() throws IOException {
@@ -139,8 +139,9 @@
 	}
 
 	/**
-	 * Begin to serve.
-	 * @param opened a socket for callers that listens already, else one is bound
+	 * Start to serve.
+	 * @param opened a socket for callers that is listening already; if empty, one is
+	 * bound
 	 * @throws IOException if an address can't be used
 	 */
 	public void start(Optional<ServerSocketChannel> opened) throws IOException {
@@ -154,7 +155,7 @@
 	}
 
 	private void startComponents(Optional<ServerSocketChannel> opened) throws IOException {
-		// First of all: control answers while the rest gets ready.
+		// Started first, so that control responds while the other components start.
 		this.controlLink.start(new ControlListener(), List::of);
 		this.readinessServer.start();
 		this.callerServer.start(opened);
@@ -167,8 +168,8 @@
 	}
 
 	/**
-	 * Decide otherwise from now on, without cutting a request: what is under way keeps
-	 * its endpoint, its rank and its place in the queue.
+	 * Set the routing policy without interrupting requests: those in flight keep their
+	 * endpoint, their rank and their place in the queue.
 	 * @param next the policy
 	 */
 	public void policy(RoutingPolicy next) {
@@ -218,7 +219,7 @@
 	}
 
 	/**
-	 * Return the port that tells whether the VM is ready.
+	 * Return the port of the readiness server.
 	 * @return the port
 	 */
 	public int readyPort() {
@@ -226,18 +227,19 @@
 	}
 
 	/**
-	 * Return whether callers should be sent here.
-	 * @return whether configuration and fleet are known and the VM does not stop
+	 * Return whether callers should be sent to this VM.
+	 * @return whether configuration and fleet are known and the VM is not stopping
 	 */
 	public boolean isReady() {
 		return this.upToDate && this.fleetKnown && !this.stopping;
 	}
 
 	/**
-	 * Stop gracefully, unless told to hurry: not ready at once, then no new connections,
-	 * then what is in flight is finished.
-	 * @param immediate whether to cut what is left at once
-	 * @return {@link ResultCode#OK}, or {@link ResultCode#DRAIN_LIMIT} if work was cut
+	 * Stop gracefully, unless told to stop immediately: first becomes not ready, then
+	 * accepts no new connections, then completes the requests in flight.
+	 * @param immediate returns whether to abort the remaining requests at once
+	 * @return {@link ResultCode#OK}, or {@link ResultCode#DRAIN_LIMIT} if requests were
+	 * aborted
 	 * @throws InterruptedException if the thread is interrupted
 	 */
 	public ResultCode stop(BooleanSupplier immediate) throws InterruptedException {
@@ -291,7 +293,7 @@
 		});
 	}
 
-	/** Takes over what control tells; called on the link's thread. */
+	/** Applies updates from control; called on the link's thread. */
 	private final class ControlListener implements ControlLink.Listener {
 
 		@Override
@@ -348,7 +350,7 @@
 
 	}
 
-	/** Answers every request at its address with whether the VM is ready. */
+	/** Responds to every request at its address with whether the VM is ready. */
 	private final class ReadinessHandler implements RequestHandler {
 
 		@Override
--- a/daemon/src/main/java/org/acaciacourse/daemon/route/RouteGauges.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/route/RouteGauges.java
@@ -10,9 +10,9 @@
 import org.acaciacourse.daemon.telemetry.Gauges;
 
 /**
- * What an entry VM holds at the moment, as gauges. The event loop publishes a snapshot
- * once a second, so that a reader of the metrics never waits for it nor holds it up;
- * values are at most that old.
+ * Gauges of the current state of an entry VM. The event loop publishes a snapshot once a
+ * second, so that a reader of the metrics neither waits for the loop nor blocks it;
+ * values are at most one second old.
  * <p>
  * Thread safe.
  */
@@ -66,7 +66,7 @@
 	}
 
 	/**
-	 * Publish what holds now.
+	 * Publish the current values.
 	 * @param next the values
 	 */
 	void publish(Snapshot next) {
@@ -74,14 +74,14 @@
 	}
 
 	/**
-	 * The values of one moment.
+	 * The values at one point in time.
 	 *
-	 * @param openRequests requests without an end
+	 * @param openRequests requests that have not ended
 	 * @param callerConnections open connections of callers
-	 * @param idleConnections kept connections to endpoints
-	 * @param configurationNumber the number in force, 0 for none
+	 * @param idleConnections idle connections to endpoints
+	 * @param configurationNumber the number of the configuration in force, 0 for none
 	 * @param configurationAge seconds since it came into force
-	 * @param sharers entry VMs that the retry budgets are divided by
+	 * @param sharers entry VMs among which the retry budgets are divided
 	 * @param pools the pools by name
 	 * @param policy the routing policy in force
 	 */
--- a/daemon/src/main/java/org/acaciacourse/daemon/route/RouteHandler.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/route/RouteHandler.java
@@ -19,21 +19,25 @@
 import org.acaciacourse.daemon.telemetry.LogEvent;
 
 /**
- * Finds route and customer of each request and begins its exchange, or refuses it. None
- * of the refusals reaches an endpoint. Invariant: the number of the table in force only
- * grows.
+ * Finds the route and the customer of each request and starts its exchange, or refuses
+ * it. No refused request reaches an endpoint. Invariant: the number of the table in force
+ * only increases.
  * <p>
  * Not thread safe: belongs to the event loop.
  */
 final class RouteHandler implements RequestHandler {
 
 	/**
-	 * A request that was held for the configuration in vain finds control lost: it takes
-	 * an election, a second or two, until there is one.
+	 * Delay after which refused callers should retry. If a held request is refused
+	 * because no configuration arrived, control is lost: electing a leader takes one to
+	 * two seconds.
 	 */
 	private static final Duration RETRY_AFTER = Duration.ofMillis(1_200);
 
-	/** As many as an entry has usual requests; the rest of a burst is merged. */
+	/**
+	 * About the usual number of requests per second on an entry VM; the remaining
+	 * refusals of a burst are summarized.
+	 */
 	private static final int MAX_REFUSAL_LINES_PER_SECOND = 10;
 
 	private final RefusalMerger refusalLog = new RefusalMerger(MAX_REFUSAL_LINES_PER_SECOND);
@@ -50,7 +54,7 @@
 	}
 
 	/**
-	 * Take a table into force.
+	 * Apply a table, unless it is older than the one in force.
 	 * @param next the table
 	 */
 	void table(RouteTable next) {
@@ -112,7 +116,8 @@
 				Refusal.of(code, RunState.NOT_RUN, Optional.of(RETRY_AFTER)));
 	}
 
-	// Tells the refusals that were merged; called once a second.
+	// Logs the summaries of refusals that were not logged individually; called once a
+	// second.
 	void logRefusalSummaries() {
 		this.refusalLog.due(System.nanoTime())
 			.forEach((summary) -> DecisionLog.write(LogEvent.REFUSALS_MERGED, summary.code().number(), summary.count(),
--- a/daemon/src/main/java/org/acaciacourse/daemon/route/RouteMetrics.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/route/RouteMetrics.java
@@ -12,8 +12,8 @@
 import org.acaciacourse.daemon.telemetry.ProcessMetrics;
 
 /**
- * Counters and latencies of routed requests. Labels are bounded: the result codes, the
- * pools, the kinds of requests, and the priorities.
+ * Counters and latency histograms of routed requests. The label values are bounded:
+ * result codes, pools, kinds of requests, and priorities.
  * <p>
  * Thread safe.
  */
--- a/daemon/src/main/java/org/acaciacourse/daemon/route/RouteOptions.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/route/RouteOptions.java
@@ -10,21 +10,22 @@
 import org.acaciacourse.daemon.control.FleetSource;
 
 /**
- * What an entry for routed requests is started with.
+ * Options of the entry daemon for routed requests.
  * <p>
  * Immutable and thread safe.
  *
  * @param listen the address for callers
- * @param ready the address that tells whether callers should be sent here
- * @param metrics the address of health and metrics, if there is one
- * @param loadPeer this VM as one that exchanges its load with others, if it should
+ * @param ready the address of the readiness server
+ * @param metrics the address for health and metrics, if there is one
+ * @param loadPeer the identity of this VM in the exchange of loads, if it takes part
  * @param retryBudget the retry budget
- * @param maxConnections the most connections of callers
- * @param stopDelay how long callers are still taken after a stop was asked for, until
- * whoever sends them has seen that the VM is not ready
- * @param drainLimit the longest time for what is in flight after that
- * @param fleetSource reads the platform's list while no control VM tells the fleet
- * @param policy how it decides until it is told otherwise
+ * @param maxConnections the maximum number of caller connections
+ * @param stopDelay how long callers are still accepted after a stop was requested, so
+ * that load balancers can see that the VM is not ready
+ * @param drainLimit the maximum time after that for the requests in flight
+ * @param fleetSource reads the platform's endpoint list while no control VM reports the
+ * fleet
+ * @param policy the initial routing policy
  */
 public record RouteOptions(InetSocketAddress listen, InetSocketAddress ready, Optional<InetSocketAddress> metrics,
 		Optional<LoadPeer> loadPeer, RetryRule retryBudget, int maxConnections, Duration stopDelay, Duration drainLimit,
--- a/daemon/src/main/java/org/acaciacourse/daemon/route/RoutedExchange.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/route/RoutedExchange.java
@@ -33,27 +33,31 @@
 
 /**
  * One routed request from its arrival to its end: makes the attempts that
- * {@link RequestProgress} permits and passes one answer on. Invariant: exactly one end is
- * told to the caller, and from then on no attempt is under way.
+ * {@link RequestProgress} permits and forwards one response. Invariant: the caller
+ * receives exactly one outcome, and after it no attempt is in flight.
  * <p>
  * Not thread safe: belongs to the event loop.
  */
 final class RoutedExchange {
 
 	/**
-	 * How long a request waits for an endpoint that takes it, as a share of its target.
+	 * A request waits for an endpoint that accepts it for at most its target divided by
+	 * this.
 	 */
 	private static final int PLACEMENT_WAIT_DIVISOR = 4;
 
-	/** After a start the list of endpoints comes right after the configuration. */
+	/** After a start, the list of endpoints arrives right after the configuration. */
 	private static final long FLEET_WAIT_NANOS = TimeUnit.MILLISECONDS.toNanos(1_500);
 
 	private static final long MIN_PLACEMENT_WAIT_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
 
-	/** When to come back if no endpoint took the request; spread over twice the time. */
+	/**
+	 * Shortest delay for a retry if no endpoint accepted the request; the actual delay is
+	 * up to twice as long.
+	 */
 	private static final long RETRY_AFTER_MILLIS = 300;
 
-	/** A shorter rest of the time can't yield an answer any more. */
+	/** With less time left, no response can arrive before the deadline. */
 	private static final long MIN_REMAINING_MILLIS = 5;
 
 	private static final String RETRY_BUDGET_EXHAUSTED = "no retry left in the budget";
@@ -88,17 +92,17 @@
 
 	private Turn queuePosition = Turn.BEFORE_OTHERS;
 
-	/** Whether a retry of the budget is set aside for this request. */
+	/** Whether a retry of the budget is reserved for this request. */
 	private boolean retryReserved;
 
 	private boolean done;
 
 	/**
-	 * Make an exchange.
-	 * @param context what all requests of the VM share
+	 * Create an exchange.
+	 * @param context the objects that all requests of the VM share
 	 * @param request the request
-	 * @param response takes the answer
-	 * @param arrivedAt when the request was read, from which on its time runs
+	 * @param response takes the response
+	 * @param arrivedAt when the request was read; its deadline counts from there
 	 */
 	RoutedExchange(RouteContext context, RoutedRequest request, CallerResponse response, long arrivedAt) {
 		this.startedAt = arrivedAt;
@@ -137,7 +141,7 @@
 		return this.lastEventId;
 	}
 
-	/** Begin. */
+	/** Start to process the request. */
 	void start() {
 		this.context.openExchanges().add(this);
 		this.pool.allowance().request(System.nanoTime());
@@ -169,8 +173,8 @@
 	}
 
 	/**
-	 * Look for an endpoint; called while the request waits for one.
-	 * @return whether the request waits no more
+	 * Try to place the request on an endpoint; called while it waits for one.
+	 * @return whether the request no longer waits
 	 */
 	boolean tryPlace() {
 		long now = System.nanoTime();
@@ -186,7 +190,8 @@
 		return true;
 	}
 
-	// Spread over twice the shortest time.
+	// Spread evenly by the hash of the request id, so that callers do not all retry at
+	// once.
 	private Duration retryAfter() {
 		return Duration.ofMillis(RETRY_AFTER_MILLIS + Math.floorMod(this.request.idHash(), RETRY_AFTER_MILLIS));
 	}
@@ -223,9 +228,9 @@
 		this.context.connections().acquire(endpoint, (result) -> connected(attempt, endpoint, result));
 	}
 
-	// A request that is late in any case waits at its engine behind those that can still
-	// be in time: in an overload all would be late otherwise, each by as much as the
-	// callers bear.
+	// A request that would be late in any case is deferred at its engine behind those
+	// that can still be in time. Otherwise, all requests would be late in an overload,
+	// each by as much as the callers tolerate.
 	private Turn queuePosition(FleetEndpoint endpoint) {
 		if (this.request.deferredUrgency().isEmpty()) {
 			return Turn.BEFORE_OTHERS;
@@ -247,8 +252,8 @@
 		}
 	}
 
-	// A connection that is refused tells that nobody listens; one that times out may also
-	// be a lost packet. Netty's timeout is a kind of refusal to Java.
+	// A refused connection means that no process listens; a connect timeout may also be
+	// due to a lost packet. Netty's exception for timeouts extends ConnectException.
 	private static Outcome outcomeOf(Throwable failure) {
 		boolean refused = failure instanceof ConnectException && !(failure instanceof ConnectTimeoutException);
 		return (refused) ? Outcome.GONE : Outcome.LOST;
@@ -303,7 +308,7 @@
 	}
 
 	/**
-	 * An attempt ended without an answer that is passed on.
+	 * An attempt ended without a response to forward.
 	 * @param attempt the attempt
 	 * @param end how it ended
 	 */
@@ -323,8 +328,8 @@
 	}
 
 	/**
-	 * Return whether an attempt that is silent may be given up for another one.
-	 * @return whether a repeat is harmless and within the bounds
+	 * Return whether an attempt without activity may be replaced by another one.
+	 * @return whether a repeat is safe, within the limits, and possible now
 	 */
 	boolean mayReplaceAttempt() {
 		return this.request.route().isIdempotent() && this.progress.mayTryAgain()
@@ -332,18 +337,18 @@
 				&& this.pool.balancer().choose(placement(), System.nanoTime()).isPresent();
 	}
 
-	// An endpoint's failure, which is passed on if no attempt yields better.
+	// Keeps an endpoint's error response, which is forwarded if no attempt succeeds.
 	void keepFailureResponse(BufferedResponse failure) {
 		this.failureResponse = Optional.of(failure);
 	}
 
-	/** The first part of the answer is passed on. */
+	/** The first part of the response is forwarded. */
 	void responseStarted() {
 		this.telemetry.responseStarted(System.nanoTime());
 	}
 
 	/**
-	 * An event was passed on.
+	 * An event was forwarded.
 	 * @param id its id, if it has one
 	 */
 	void eventForwarded(OptionalLong id) {
@@ -355,8 +360,8 @@
 	}
 
 	/**
-	 * Pass a whole answer on.
-	 * @param buffered the answer
+	 * Forward a complete response.
+	 * @param buffered the response
 	 */
 	void respond(BufferedResponse buffered) {
 		if (close()) {
@@ -366,7 +371,7 @@
 		}
 	}
 
-	/** The stream came to its end. */
+	/** The stream is complete. */
 	void endStream() {
 		if (close()) {
 			this.response.endStream();
@@ -400,7 +405,8 @@
 		Duration retryAfter = retryAfter();
 		this.telemetry.failed(code, detail, this.progress, retryAfter);
 		if (this.response.isStarted()) {
-			// The answer can't be completed: only a broken connection tells that.
+			// The response can't be completed, and only an aborted connection signals
+			// that.
 			this.response.abort();
 			return;
 		}
@@ -428,7 +434,7 @@
 		}
 	}
 
-	/** Cut the request: the VM ends before it does. */
+	/** Abort the request because the VM stops before it is complete. */
 	void abortForShutdown() {
 		finish((this.progress.runState() == RunState.NOT_RUN) ? ResultCode.STOPPING : ResultCode.ENDPOINT_LOST,
 				"the VM stops");
@@ -452,10 +458,10 @@
 	}
 
 	/**
-	 * A whole answer of an endpoint.
+	 * A complete response of an endpoint.
 	 *
 	 * @param status the HTTP status
-	 * @param headers the headers that are passed on
+	 * @param headers the headers that are forwarded
 	 * @param body the body
 	 */
 	record BufferedResponse(int status, HttpHeaders headers, byte[] body) {
--- a/daemon/src/main/java/org/acaciacourse/daemon/route/RoutedRequest.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/route/RoutedRequest.java
@@ -11,20 +11,20 @@
 import org.acaciacourse.daemon.http.CallerRequest;
 
 /**
- * A caller's request with the route that takes it.
+ * A caller's request with its route.
  * <p>
  * Not thread safe: belongs to the event loop.
  *
  * @param method the HTTP method
  * @param requestTarget the path with the query, byte for byte
- * @param headers the headers that are passed on
+ * @param headers the headers that are forwarded
  * @param body the body
- * @param hasBody whether the caller sent a body, be it an empty one
- * @param facts what the caller says in headers
+ * @param hasBody whether the caller sent a body, even an empty one
+ * @param facts the metadata in the caller's headers
  * @param route the route
  * @param owner the customer, if there is a key
  * @param urgency the rank of the request, 0 is the highest
- * @param deferredUrgency its rank if it is late in any case, if it may get another one
+ * @param deferredUrgency its rank if it would be late in any case, if it can be deferred
  * @param idHash a hash of the request's id
  */
 record RoutedRequest(String method, String requestTarget, HttpHeaders headers, byte[] body, boolean hasBody,
--- a/daemon/src/main/java/org/acaciacourse/daemon/route/ServerSentEventParser.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/route/ServerSentEventParser.java
@@ -4,15 +4,17 @@
 import java.util.OptionalLong;
 
 /**
- * Splits a stream of server-sent events into whole events. Only whole ones are passed on:
- * an endpoint that is lost may break off within one, and another endpoint that goes on
- * after the last whole one would then repeat its beginning.
+ * Splits a stream of server-sent events into complete events. Only complete events are
+ * forwarded: an endpoint may fail in the middle of one, and another endpoint that resumes
+ * after the last complete event would then repeat its beginning.
  * <p>
  * Not thread safe: belongs to one attempt.
  */
 final class ServerSentEventParser {
 
-	/** More than any event that engines send; a longer one is taken for damage. */
+	/**
+	 * Longer than any event that engines send; a longer one is taken for damaged data.
+	 */
 	static final int MAX_EVENT_BYTES = 1024 * 1024;
 
 	private static final byte[] ID_FIELD = { 'i', 'd', ':' };
@@ -21,11 +23,11 @@
 
 	private int length;
 
-	/** Where the search for the end of the first event goes on. */
+	/** The offset at which the search for the end of the first event continues. */
 	private int searchFrom;
 
 	/**
-	 * Take bytes in.
+	 * Add received bytes.
 	 * @param bytes the bytes
 	 * @return false if an event is too long
 	 */
@@ -42,8 +44,8 @@
 	}
 
 	/**
-	 * Take the next whole event out.
-	 * @return the event, or {@code null} if none is whole
+	 * Remove and return the next complete event.
+	 * @return the event, or {@code null} if there is none
 	 */
 	Event next() {
 		for (int i = this.searchFrom; i < this.length; i++) {
@@ -59,7 +61,7 @@
 		return null;
 	}
 
-	// Whether the line that ends here is empty, so that an event ends with it.
+	// Returns whether the line ending at the offset is empty, which completes an event.
 	private boolean endsEmptyLine(int at) {
 		int before = at - 1;
 		if (before >= 0 && this.buffer[before] == '\r') {
@@ -69,7 +71,7 @@
 	}
 
 	/**
-	 * Return whether bytes are left that are no whole event.
+	 * Return whether bytes of an incomplete event are left.
 	 * @return whether the stream ended within an event
 	 */
 	boolean isWithinEvent() {
@@ -113,10 +115,10 @@
 	}
 
 	/**
-	 * A whole event.
+	 * A complete event.
 	 *
-	 * @param bytes its bytes with the empty line at its end
-	 * @param id its id, if it has a number for one
+	 * @param bytes its bytes, including the empty line at its end
+	 * @param id its id, if that is a number
 	 */
 	record Event(byte[] bytes, OptionalLong id) {
 	}
--- a/daemon/src/test/java/org/acaciacourse/daemon/route/LoadGossipTests.java
+++ b/daemon/src/test/java/org/acaciacourse/daemon/route/LoadGossipTests.java
@@ -66,7 +66,8 @@
 			gossip.start();
 			return null;
 		});
-		// The address is bound by a task that the start puts into the loop's queue.
+		// The address is bound by a task that start() adds to the queue of the event
+		// loop.
 		onLoop(() -> null);
 		return gossip;
 	}
@@ -87,8 +88,8 @@
 			.begin(instance, new Placement(shape, true, false, 0, Set.of()), Turn.AFTER_OTHERS, 0);
 	}
 
-	// An entry whose policy has no digests takes none, whatever the others send; the
-	// next policy has it listen again.
+	// An entry VM whose policy disables load digests ignores those of its peers. With the
+	// next policy it must use them again, without a restart.
 	@Test
 	void entryWithDigestsDisabledIgnoresThem() throws Exception {
 		PoolStates first = pools();
@@ -105,8 +106,8 @@
 			return null;
 		});
 		awaitDigest(third);
-		// Both were sent at once, the other one first: what has arrived is read by the
-		// next turns of the loop.
+		// Both datagrams were sent at once, the one to the disabled entry VM first. What
+		// has arrived is read within the next two iterations of the event loop.
 		onLoop(() -> null);
 		onLoop(() -> null);
 		assertThat(onLoop(second.peers()::isTold)).isFalse();
@@ -117,8 +118,9 @@
 		awaitDigest(second);
 	}
 
-	// An entry sends a long prompt to one of two endpoints. The other entry has nothing
-	// under way; without a word from the first it would send there too every other time.
+	// An entry VM sends a long prompt to one of two endpoints. Its peer has no requests
+	// in flight; without a digest of the first VM, it would choose the busy endpoint
+	// every other time.
 	@Test
 	void peerAvoidsBusyEndpoint() throws Exception {
 		PoolStates first = pools();
@@ -139,8 +141,8 @@
 		}
 	}
 
-	// An entry has had an endpoint read a part. The other entry would have the part read
-	// once more at the endpoint of its own choice, were it not told.
+	// An entry VM had an endpoint read a prompt part. Without a report of that use, its
+	// peer would have the part read again at the endpoint of its own choice.
 	@Test
 	void peerPrefersEndpointThatHoldsPromptPart() throws Exception {
 		PoolStates first = pools();
@@ -166,7 +168,8 @@
 		}
 	}
 
-	// What another process sends there by mistake must not end the loop of all requests.
+	// Datagrams that another process sends to the port by mistake must not end the event
+	// loop that serves all requests.
 	@Test
 	void invalidDatagramIsIgnored() throws Exception {
 		PoolStates pools = pools();
