--- a/daemon/src/main/java/org/acaciacourse/daemon/route/Attempt.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/route/Attempt.java
@@ -128,7 +128,7 @@
 		String instance = this.endpoint.instance();
 		long silentMillis = TimeUnit.NANOSECONDS.toMillis(now - this.lastActivityAt);
 		PlacedRequest.Belief estimate = this.placed.belief(now);
-		DecisionLog.write(LogEvent.ATTEMPT_ENDED, this.exchange.request().facts().id(), instance, end.name(),
+		DecisionLog.write(LogEvent.ATTEMPT_ENDED, this.exchange.request().metadata().id(), instance, end.name(),
 				TimeUnit.NANOSECONDS.toMillis(now - this.startedAt), (this.sentAt != 0) ? silentMillis : null,
 				estimate.running(), estimate.waitingWork(), Math.round(estimate.failureRate() * 100) / 100.0);
 	}
@@ -154,20 +154,20 @@
 	@Override
 	public void headReceived(HttpResponse head) {
 		recordActivity();
-		RequestDialect.AnswerFacts facts = this.exchange.context().dialect().answer(head.headers());
-		facts.load().ifPresent((load) -> this.placed.report(load.running(), load.waiting(), this.lastActivityAt));
-		facts.idleTimeoutSeconds()
+		RequestDialect.AnswerFacts metadata = this.exchange.context().dialect().answer(head.headers());
+		metadata.load().ifPresent((load) -> this.placed.report(load.running(), load.waiting(), this.lastActivityAt));
+		metadata.idleTimeoutSeconds()
 			.ifPresent((seconds) -> this.exchange.context().connections().setIdleTimeout(this.endpoint, seconds));
 		int status = head.status().code();
-		boolean notRun = facts.notRun() || status == MISDIRECTED_REQUEST;
-		boolean ownResponse = facts.requestId().equals(this.exchange.request().facts().id());
+		boolean notRun = metadata.notRun() || status == MISDIRECTED_REQUEST;
+		boolean ownResponse = metadata.requestId().equals(this.exchange.request().metadata().id());
 		if (!ownResponse && !notRun) {
 			abandon(AttemptEnd.MISMATCH, Outcome.FAILED);
 		}
 		else if (notRun) {
 			this.partial.start(PartialResponse.Mode.NOT_RUN, head);
 		}
-		else if (status / 100 == 2 && !facts.sealed()) {
+		else if (status / 100 == 2 && !metadata.sealed()) {
 			abandon(AttemptEnd.BROKEN, Outcome.FAILED);
 		}
 		else if (status / 100 == 2 && isStream(head)) {
@@ -321,9 +321,9 @@
 		if (isStreamRequest()) {
 			lastActivity = Math.max(lastActivity, this.placed.heardAt());
 		}
-		long silent = System.nanoTime() - lastActivity;
-		if (silent < timeout) {
-			scheduleSilenceCheck(timeout - silent);
+		long silentNanos = System.nanoTime() - lastActivity;
+		if (silentNanos < timeout) {
+			scheduleSilenceCheck(timeout - silentNanos);
 		}
 		else if (this.exchange.mayReplaceAttempt()) {
 			abandon(AttemptEnd.SILENT, Outcome.LOST);
--- a/daemon/src/main/java/org/acaciacourse/daemon/route/ExchangeTelemetry.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/route/ExchangeTelemetry.java
@@ -74,7 +74,7 @@
 	// The request is sent again; "left" is the rest of the retry budget after that.
 	void retried(String instance, double left) {
 		PoolStates.Sharing sharing = this.context.pools().sharing();
-		DecisionLog.write(LogEvent.RETRY, this.request.facts().id(), this.request.pool(), instance,
+		DecisionLog.write(LogEvent.RETRY, this.request.metadata().id(), this.request.pool(), instance,
 				Math.round(left * 100) / 100.0, sharing.vms(), sharing.countAge().toMillis(),
 				sharing.uptime().toMillis());
 		this.context.metrics().retried(this.request.pool());
@@ -104,7 +104,7 @@
 			logLate(progress);
 		}
 		if (Math.floorMod(this.request.idHash(), RESPONSES_PER_LINE) == 0) {
-			DecisionLog.write(LogEvent.REQUEST_ANSWERED, this.request.facts().id(), this.request.route().name(),
+			DecisionLog.write(LogEvent.REQUEST_ANSWERED, this.request.metadata().id(), this.request.route().name(),
 					this.request.pool(), this.request.urgency(), this.context.pools().tableNumber(),
 					millisUntil(this.placedAt), millisUntil(this.responseStartedAt), millisUntil(System.nanoTime()),
 					progress.tried().size(), this.sentUrgency, this.workAhead);
@@ -122,7 +122,7 @@
 		OptionalLong suppressed = this.context.lateLogLimiter().next(now);
 		if (suppressed.isPresent()) {
 			Route route = this.request.route();
-			DecisionLog.write(LogEvent.REQUEST_LATE, this.request.facts().id(), route.name(), this.request.pool(),
+			DecisionLog.write(LogEvent.REQUEST_LATE, this.request.metadata().id(), route.name(), this.request.pool(),
 					this.request.urgency(), this.context.pools().tableNumber(), this.sentTo, millisUntil(this.placedAt),
 					millisUntil(this.sentAt), millisUntil(this.responseStartedAt),
 					TimeUnit.NANOSECONDS.toMillis(this.longestGap), millisUntil(now), progress.tried().size(),
@@ -140,7 +140,7 @@
 	 */
 	void failed(ResultCode code, String detail, RequestProgress progress, Duration retryAfter) {
 		long now = System.nanoTime();
-		DecisionLog.write(LogEvent.REQUEST_FAILED, this.request.facts().id(), code.number(), detail,
+		DecisionLog.write(LogEvent.REQUEST_FAILED, this.request.metadata().id(), code.number(), detail,
 				progress.runState().label(), this.request.route().name(), this.request.pool(),
 				this.request.customer().orElse(null), this.request.urgency(), this.context.pools().tableNumber(),
 				Long.toHexString(this.context.pools().fleet().revision()), millisUntil(this.placedAt), millisUntil(now),
--- a/daemon/src/main/java/org/acaciacourse/daemon/route/PoolStates.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/route/PoolStates.java
@@ -286,8 +286,8 @@
 			this.queue = queue;
 		}
 
-		private void setShortestTarget(Duration shortest) {
-			this.shortestTarget = shortest;
+		private void setShortestTarget(Duration target) {
+			this.shortestTarget = target;
 		}
 
 		/**
--- a/daemon/src/main/java/org/acaciacourse/daemon/route/RequestDialect.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/route/RequestDialect.java
@@ -32,10 +32,10 @@
 
 	/**
 	 * Add the system's metadata to the headers for an endpoint.
-	 * @param facts the metadata
+	 * @param metadata the metadata
 	 * @param headers the sanitized headers
 	 */
-	void write(SendFacts facts, HttpHeaders headers);
+	void write(SendFacts metadata, HttpHeaders headers);
 
 	/**
 	 * Read the metadata in an endpoint's response.
--- a/daemon/src/main/java/org/acaciacourse/daemon/route/RouteHandler.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/route/RouteHandler.java
@@ -71,10 +71,10 @@
 	}
 
 	private void handle(CallerRequest request, CallerResponse response, long arrivedAt) {
-		RequestDialect.RequestFacts facts = this.context.dialect().request(request.headers());
+		RequestDialect.RequestFacts metadata = this.context.dialect().request(request.headers());
 		if (this.table.isEmpty()) {
-			long callerTimeoutMillis = facts.callerTimeoutMillis().orElse(Long.MAX_VALUE);
-			Runnable refusal = () -> refuse(request, response, ResultCode.NOT_READY, facts);
+			long callerTimeoutMillis = metadata.callerTimeoutMillis().orElse(Long.MAX_VALUE);
+			Runnable refusal = () -> refuse(request, response, ResultCode.NOT_READY, metadata);
 			boolean holdsRequests = this.context.pools().policy().isOn(RoutingMechanism.HELD_REQUESTS);
 			if (!holdsRequests || !this.heldRequests.hold(request, response, callerTimeoutMillis, refusal)) {
 				refusal.run();
@@ -82,33 +82,33 @@
 			return;
 		}
 		String host = request.headers().get("host", "");
-		if (host.isEmpty() || facts.id().isEmpty()) {
-			refuse(request, response, ResultCode.MALFORMED_REQUEST, facts);
+		if (host.isEmpty() || metadata.id().isEmpty()) {
+			refuse(request, response, ResultCode.MALFORMED_REQUEST, metadata);
 			return;
 		}
 		Optional<Route> route = this.table.get().match(host, request.path());
 		if (route.isEmpty()) {
-			refuse(request, response, ResultCode.UNKNOWN_PATH, facts);
+			refuse(request, response, ResultCode.UNKNOWN_PATH, metadata);
 			return;
 		}
-		Optional<KeyOwner> owner = facts.key().flatMap(this.table.get()::owner);
+		Optional<KeyOwner> owner = metadata.key().flatMap(this.table.get()::owner);
 		if (owner.isEmpty() && !route.get().anonymous() && this.table.get().isKeyed()) {
-			refuse(request, response, ResultCode.UNKNOWN_CUSTOMER, facts);
+			refuse(request, response, ResultCode.UNKNOWN_CUSTOMER, metadata);
 			return;
 		}
 		boolean ranked = this.context.pools().policy().isOn(RoutingMechanism.RANKS_OF_ROUTES);
 		RouteTable activeTable = this.table.get();
-		RoutedRequest routed = RoutedRequest.of(request, this.context.dialect(), facts, route.get(), owner,
+		RoutedRequest routed = RoutedRequest.of(request, this.context.dialect(), metadata, route.get(), owner,
 				(ranked) ? activeTable.urgency(route.get(), owner) : RouteTable.priority(route.get(), owner),
 				(ranked) ? activeTable.deferredUrgency(route.get(), owner) : OptionalInt.empty());
 		new RoutedExchange(this.context, routed, response, arrivedAt).start();
 	}
 
 	private void refuse(CallerRequest request, CallerResponse response, ResultCode code,
-			RequestDialect.RequestFacts facts) {
+			RequestDialect.RequestFacts metadata) {
 		this.context.metrics().requestRefused(code);
-		if (this.refusalLog.tell(code, facts.id(), System.nanoTime())) {
-			DecisionLog.write(LogEvent.REQUEST_REFUSED, facts.id(), code.number(), request.headers().get("host"),
+		if (this.refusalLog.tell(code, metadata.id(), System.nanoTime())) {
+			DecisionLog.write(LogEvent.REQUEST_REFUSED, metadata.id(), code.number(), request.headers().get("host"),
 					request.path(), this.context.pools().tableNumber(),
 					(code.isRetryable()) ? RETRY_AFTER.toMillis() : null);
 		}
--- a/daemon/src/main/java/org/acaciacourse/daemon/route/RoutedExchange.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/route/RoutedExchange.java
@@ -113,10 +113,10 @@
 		this.brief = this.pool.isBrief(request.route().target(),
 				context.pools().policy().value(RoutingParameter.NEARLY_SHORTEST));
 		this.progress = new RequestProgress(request.route());
-		this.lastEventId = request.facts().lastEventId();
+		this.lastEventId = request.metadata().lastEventId();
 		long millis = request.route().timeout().toMillis();
-		if (request.facts().callerTimeoutMillis().isPresent()) {
-			millis = Math.min(millis, request.facts().callerTimeoutMillis().getAsLong());
+		if (request.metadata().callerTimeoutMillis().isPresent()) {
+			millis = Math.min(millis, request.metadata().callerTimeoutMillis().getAsLong());
 		}
 		this.deadlineAt = this.startedAt + TimeUnit.MILLISECONDS.toNanos(millis);
 		this.telemetry = new ExchangeTelemetry(context, request, this.startedAt, this.deadlineAt);
@@ -215,7 +215,7 @@
 	}
 
 	private Placement placement() {
-		return new Placement(this.request.facts().prompt(), this.request.route().affinity(), this.brief,
+		return new Placement(this.request.metadata().prompt(), this.request.route().affinity(), this.brief,
 				this.request.idHash(), this.progress.tried());
 	}
 
@@ -236,7 +236,7 @@
 			return Turn.BEFORE_OTHERS;
 		}
 		long left = this.startedAt + this.request.route().target().toNanos() - System.nanoTime();
-		boolean late = this.pool.balancer().isLate(endpoint.instance(), this.request.facts().prompt(), left);
+		boolean late = this.pool.balancer().isLate(endpoint.instance(), this.request.metadata().prompt(), left);
 		return (late) ? Turn.DEFERRED : Turn.AFTER_OTHERS;
 	}
 
--- a/daemon/src/main/java/org/acaciacourse/daemon/route/RoutedRequest.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/route/RoutedRequest.java
@@ -20,7 +20,7 @@
  * @param headers the headers that are forwarded
  * @param body the body
  * @param hasBody whether the caller sent a body, even an empty one
- * @param facts the metadata in the caller's headers
+ * @param metadata the metadata in the caller's headers
  * @param route the route
  * @param owner the customer, if there is a key
  * @param urgency the rank of the request, 0 is the highest
@@ -28,19 +28,19 @@
  * @param idHash a hash of the request's id
  */
 record RoutedRequest(String method, String requestTarget, HttpHeaders headers, byte[] body, boolean hasBody,
-		RequestDialect.RequestFacts facts, Route route, Optional<KeyOwner> owner, int urgency,
+		RequestDialect.RequestFacts metadata, Route route, Optional<KeyOwner> owner, int urgency,
 		OptionalInt deferredUrgency, long idHash) {
 
 	private static final LongHashFunction HASH = LongHashFunction.xx3();
 
-	static RoutedRequest of(CallerRequest request, RequestDialect dialect, RequestDialect.RequestFacts facts,
+	static RoutedRequest of(CallerRequest request, RequestDialect dialect, RequestDialect.RequestFacts metadata,
 			Route route, Optional<KeyOwner> owner, int urgency, OptionalInt deferredUrgency) {
 		HttpHeaders headers = HopByHopHeaders.endToEnd(request.headers());
 		boolean hasBody = request.headers().contains("content-length")
 				|| request.headers().contains("transfer-encoding");
 		dialect.clean(headers);
-		long hash = HASH.hashBytes(facts.id().getBytes(StandardCharsets.UTF_8));
-		return new RoutedRequest(request.method(), request.target(), headers, request.body(), hasBody, facts, route,
+		long hash = HASH.hashBytes(metadata.id().getBytes(StandardCharsets.UTF_8));
+		return new RoutedRequest(request.method(), request.target(), headers, request.body(), hasBody, metadata, route,
 				owner, urgency, deferredUrgency, hash);
 	}
 
--- a/daemon/src/main/java/org/acaciacourse/daemon/route/ServerSentEventParser.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/route/ServerSentEventParser.java
@@ -62,8 +62,8 @@
 	}
 
 	// Returns whether the line ending at the offset is empty, which completes an event.
-	private boolean endsEmptyLine(int at) {
-		int before = at - 1;
+	private boolean endsEmptyLine(int offset) {
+		int before = offset - 1;
 		if (before >= 0 && this.buffer[before] == '\r') {
 			before--;
 		}
