--- a/daemon/src/main/java/org/acaciacourse/daemon/route/FleetFallback.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/route/FleetFallback.java
@@ -95,7 +95,8 @@
 			this.onFleet.accept(this.source.read());
 		}
 		catch (IOException ex) {
-			LOGGER.warn("no control VM tells the fleet, and the list cannot be read: {}", ex.getMessage());
+			LOGGER.warn("no control VM reports the fleet, and the platform's endpoint list cannot be read: {}",
+					ex.getMessage());
 		}
 	}
 
--- a/daemon/src/main/java/org/acaciacourse/daemon/route/LoadGossip.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/route/LoadGossip.java
@@ -78,7 +78,7 @@
 		this.channel = bound.channel();
 		bound.addListener((future) -> {
 			if (!future.isSuccess()) {
-				logger.warn("the load of other entries cannot be received at {}: {}", this.address,
+				logger.warn("cannot bind {} to receive load digests of other entry VMs: {}", this.address,
 						String.valueOf(future.cause()));
 			}
 		});
@@ -165,15 +165,16 @@
 
 	private void logDropped(InetSocketAddress sender, Throwable cause) {
 		this.dropLogLimiter.next(System.nanoTime())
-			.ifPresent((suppressed) -> logger.warn("a datagram from {} is no digest of load ({} more before it): {}",
-					sender, suppressed, String.valueOf(cause)));
+			.ifPresent(
+					(suppressed) -> logger.warn("ignored invalid load digest from {} ({} earlier ones not logged): {}",
+							sender, suppressed, String.valueOf(cause)));
 	}
 
 	@Override
 	public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
 		// Happens when no process listens on the peer's port; the next list of peers
 		// leaves that peer out.
-		logger.debug("a digest was not delivered", cause);
+		logger.debug("load digest was not delivered", cause);
 	}
 
 }
--- a/daemon/src/main/java/org/acaciacourse/daemon/route/RetryRule.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/route/RetryRule.java
@@ -15,7 +15,8 @@
 
 	public RetryRule {
 		if (window.isZero() || window.isNegative() || ratio < 0 || minimum < 0) {
-			throw new IllegalArgumentException("a retry budget has a window and is not negative");
+			throw new IllegalArgumentException("invalid retry budget: window " + window + " must be positive, ratio "
+					+ ratio + " and minimum " + minimum + " must not be negative");
 		}
 	}
 
--- a/daemon/src/main/java/org/acaciacourse/daemon/route/RouteDaemon.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/route/RouteDaemon.java
@@ -298,7 +298,8 @@
 
 		@Override
 		public void manifest(Manifest next) {
-			logger.error("manifest {} is none of routes, and this entry serves only routes", next.number());
+			logger.error("ignored manifest {}: it defines no routes, and this entry VM serves only routes",
+					next.number());
 		}
 
 		@Override
@@ -330,12 +331,12 @@
 
 		@Override
 		public void endpointStatus(String endpoint, EndpointStatus status) {
-			logger.debug("{} is {}, which the fleet tells as well", endpoint, status);
+			logger.debug("ignored status of endpoint {}: {} (also reported with the fleet)", endpoint, status);
 		}
 
 		@Override
 		public void crash(long contentHash, int crashes) {
-			logger.debug("content {} crashed {} endpoints", contentHash, crashes);
+			logger.debug("content with hash {} crashed {} endpoints", contentHash, crashes);
 		}
 
 		@Override
@@ -361,7 +362,7 @@
 
 		@Override
 		public void refused(ResultCode code) {
-			logger.debug("a question for readiness was refused with {}", code);
+			logger.debug("readiness request refused with {}", code);
 		}
 
 	}
--- a/daemon/src/main/java/org/acaciacourse/daemon/route/RoutedExchange.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/route/RoutedExchange.java
@@ -60,7 +60,7 @@
 	/** With less time left, no response can arrive before the deadline. */
 	private static final long MIN_REMAINING_MILLIS = 5;
 
-	private static final String RETRY_BUDGET_EXHAUSTED = "no retry left in the budget";
+	private static final String RETRY_BUDGET_EXHAUSTED = "retry budget exhausted";
 
 	private final RouteContext context;
 
@@ -383,8 +383,8 @@
 		if (this.failureResponse.isPresent() && !this.response.isStarted()) {
 			BufferedResponse kept = this.failureResponse.get();
 			if (close()) {
-				this.telemetry.failed(ResultCode.ENDPOINT_ERROR, "the endpoint's failure is passed on", this.progress,
-						Duration.ZERO);
+				this.telemetry.failed(ResultCode.ENDPOINT_ERROR, "error response of the endpoint forwarded",
+						this.progress, Duration.ZERO);
 				this.response.answer(kept.status(), kept.headers(), kept.body());
 			}
 			return;
@@ -394,7 +394,7 @@
 
 	private void timedOut() {
 		if (!this.done) {
-			finish(this.progress.failure(true), "the time is over");
+			finish(this.progress.failure(true), "deadline exceeded");
 		}
 	}
 
@@ -437,7 +437,7 @@
 	/** Abort the request because the VM stops before it is complete. */
 	void abortForShutdown() {
 		finish((this.progress.runState() == RunState.NOT_RUN) ? ResultCode.STOPPING : ResultCode.ENDPOINT_LOST,
-				"the VM stops");
+				"VM is stopping");
 	}
 
 	private boolean close() {
