--- a/daemon/src/main/java/org/acaciacourse/daemon/route/EndpointConnections.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/route/EndpointConnections.java
@@ -43,8 +43,8 @@
 	private static final long DEFAULT_IDLE_NANOS = TimeUnit.SECONDS.toNanos(4);
 
 	/**
-	 * The share of the idle timeout stated by an endpoint during which a connection is
-	 * used.
+	 * The share of the idle timeout stated by an endpoint during which an idle connection
+	 * is used; in the last part of that time it is not.
 	 */
 	private static final double IDLE_TIMEOUT_SHARE = 0.8;
 
--- a/daemon/src/main/java/org/acaciacourse/daemon/route/ExchangeTelemetry.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/route/ExchangeTelemetry.java
@@ -132,7 +132,7 @@
 	}
 
 	/**
-	 * The request ended without a complete response from an endpoint.
+	 * The request ended without a successful response.
 	 * @param code the reason
 	 * @param detail the reason in words
 	 * @param progress the attempts
--- a/daemon/src/main/java/org/acaciacourse/daemon/route/HeldRequests.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/route/HeldRequests.java
@@ -33,8 +33,8 @@
 	private static final int CALLER_TIMEOUT_DIVISOR = 3;
 
 	/**
-	 * Bounds the memory used. More than the requests that arrive at a VM within the
-	 * longest hold time at ten times the usual load.
+	 * Bounds the memory used; exceeds the number of requests that arrive at a VM within
+	 * the longest hold time at ten times the usual load.
 	 */
 	private static final int MAX_HELD_REQUESTS = 500;
 
--- a/daemon/src/main/java/org/acaciacourse/daemon/route/RequestDialect.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/route/RequestDialect.java
@@ -33,7 +33,7 @@
 	/**
 	 * Add the system's metadata to the headers for an endpoint.
 	 * @param metadata the metadata
-	 * @param headers the sanitized headers
+	 * @param headers the headers, without reserved ones
 	 */
 	void write(SendFacts metadata, HttpHeaders headers);
 
--- a/daemon/src/main/java/org/acaciacourse/daemon/route/ServerSentEventParser.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/route/ServerSentEventParser.java
@@ -13,7 +13,7 @@
 final class ServerSentEventParser {
 
 	/**
-	 * Longer than any event that engines send; a longer one is taken for damaged data.
+	 * Longer than any event that engines send; a longer event is treated as malformed.
 	 */
 	static final int MAX_EVENT_BYTES = 1024 * 1024;
 
