--- a/daemon/src/main/java/org/acaciacourse/daemon/store/FolderDisk.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/store/FolderDisk.java
@@ -44,7 +44,7 @@
 			sync(folder.toAbsolutePath().getParent());
 			FileChannel channel = FileChannel.open(folder.resolve(LOCK), StandardOpenOption.CREATE,
 					StandardOpenOption.WRITE);
-			if (!isLocked(channel)) {
+			if (!tryLock(channel)) {
 				channel.close();
 				throw new StoreException(ResultCode.DATA_FOLDER_LOCKED, folder.toString(), null);
 			}
@@ -55,7 +55,7 @@
 		}
 	}
 
-	private static boolean isLocked(FileChannel channel) throws IOException {
+	private static boolean tryLock(FileChannel channel) throws IOException {
 		try {
 			FileLock lock = channel.tryLock();
 			return lock != null;
--- a/daemon/src/main/java/org/acaciacourse/daemon/store/LogReplay.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/store/LogReplay.java
@@ -25,7 +25,7 @@
 
 	private static final long UNKNOWN_TERM = -1;
 
-	private final long replica;
+	private final long replicaId;
 
 	private final List<LogEntry> entries = new ArrayList<>();
 
@@ -35,12 +35,12 @@
 
 	private long previousTerm;
 
-	private long deletedIndex;
+	private long requiredSnapshotIndex;
 
-	private long sequence = -1;
+	private long lastSequence = -1;
 
-	LogReplay(long replica) {
-		this.replica = replica;
+	LogReplay(long replicaId) {
+		this.replicaId = replicaId;
 	}
 
 	/**
@@ -48,27 +48,27 @@
 	 * @param file the name of the segment
 	 * @param record the next record
 	 */
-	void take(String file, StoreRecord record) {
+	void apply(String file, StoreRecord record) {
 		if (record.isSetHeader()) {
-			header(file, record.getHeader());
+			applyHeader(file, record.getHeader());
 		}
-		else if (record.isSetBatch() && this.sequence >= 0) {
-			batch(file, record.getBatch());
+		else if (record.isSetBatch() && this.lastSequence >= 0) {
+			applyBatch(file, record.getBatch());
 		}
 		else {
 			throw damaged(file, "unexpected record");
 		}
 	}
 
-	private void header(String file, SegmentHeader header) {
-		boolean first = this.sequence < 0;
-		if (header.getReplica() != this.replica) {
+	private void applyHeader(String file, SegmentHeader header) {
+		boolean first = this.lastSequence < 0;
+		if (header.getReplica() != this.replicaId) {
 			throw damaged(file, "belongs to another replica");
 		}
-		if (!first && header.getSequence() != this.sequence + 1) {
+		if (!first && header.getSequence() != this.lastSequence + 1) {
 			throw damaged(file, "a segment before it is missing");
 		}
-		this.sequence = header.getSequence();
+		this.lastSequence = header.getSequence();
 		this.hardState = ReplicaCodec.decode(header.getHardState());
 		boolean continues = !first && header.getPreviousIndex() == lastIndex()
 				&& header.getPreviousTerm() == lastTerm();
@@ -76,11 +76,11 @@
 			this.entries.clear();
 			this.previousIndex = header.getPreviousIndex();
 			this.previousTerm = header.getPreviousTerm();
-			this.deletedIndex = header.getPreviousIndex();
+			this.requiredSnapshotIndex = header.getPreviousIndex();
 		}
 	}
 
-	private void batch(String file, BatchRecord batch) {
+	private void applyBatch(String file, BatchRecord batch) {
 		if (batch.isSetHardState()) {
 			this.hardState = ReplicaCodec.decode(batch.getHardState());
 		}
@@ -90,7 +90,7 @@
 				throw damaged(file, "entry " + entry.index() + " does not follow " + lastIndex());
 			}
 			if (entry.index() <= this.previousIndex) {
-				startBefore(entry);
+				restartBefore(entry);
 			}
 			this.entries.subList((int) (entry.index() - this.previousIndex - 1), this.entries.size()).clear();
 			this.entries.add(entry);
@@ -99,7 +99,7 @@
 
 	// An entry may void some of a segment that is deleted by now, which is only done if a
 	// snapshot covers all of that segment; finish checks that one does.
-	private void startBefore(LogEntry entry) {
+	private void restartBefore(LogEntry entry) {
 		this.entries.clear();
 		this.previousIndex = entry.index() - 1;
 		this.previousTerm = UNKNOWN_TERM;
@@ -123,31 +123,31 @@
 	Recovered finish(Optional<Snapshot> snapshot) {
 		long index = snapshot.map(Snapshot::index).orElse(0L);
 		long term = snapshot.map(Snapshot::term).orElse(0L);
-		if (this.deletedIndex > index) {
-			throw damaged("snapshot", "the one up to entry " + this.deletedIndex + " is missing");
+		if (this.requiredSnapshotIndex > index) {
+			throw damaged("snapshot", "the one up to entry " + this.requiredSnapshotIndex + " is missing");
 		}
 		if (index > lastIndex() || termAt(index) != term) {
 			return new Recovered(this.hardState, snapshot, List.of());
 		}
-		List<LogEntry> rest = this.entries.subList((int) (index - this.previousIndex), this.entries.size());
-		return new Recovered(this.hardState, snapshot, rest);
+		List<LogEntry> remaining = this.entries.subList((int) (index - this.previousIndex), this.entries.size());
+		return new Recovered(this.hardState, snapshot, remaining);
 	}
 
 	private long termAt(long index) {
-		int at = (int) (index - this.previousIndex);
-		return (at == 0) ? this.previousTerm : this.entries.get(at - 1).term();
+		int position = (int) (index - this.previousIndex);
+		return (position == 0) ? this.previousTerm : this.entries.get(position - 1).term();
 	}
 
 	/**
 	 * Return the sequence number of the last segment.
 	 * @return the number, -1 if there is no segment
 	 */
-	long sequence() {
-		return this.sequence;
+	long lastSequence() {
+		return this.lastSequence;
 	}
 
-	private static StoreException damaged(String file, String what) {
-		return new StoreException(ResultCode.LOG_DAMAGED, file + ": " + what, null);
+	private static StoreException damaged(String file, String detail) {
+		return new StoreException(ResultCode.LOG_DAMAGED, file + ": " + detail, null);
 	}
 
 }
--- a/daemon/src/main/java/org/acaciacourse/daemon/store/RecordFormat.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/store/RecordFormat.java
@@ -20,9 +20,9 @@
  */
 final class RecordFormat {
 
-	private static final int MARK = 0xACAC1A01;
+	private static final int MAGIC = 0xACAC1A01;
 
-	private static final int HEAD = 12;
+	private static final int HEADER_BYTES = 12;
 
 	private RecordFormat() {
 	}
@@ -34,8 +34,8 @@
 	 */
 	static ByteBuffer encode(StoreRecord record) {
 		byte[] body = ThriftBytes.encode(record);
-		ByteBuffer bytes = ByteBuffer.allocate(HEAD + body.length);
-		bytes.putInt(MARK).putInt(body.length).putInt(checksum(body)).put(body);
+		ByteBuffer bytes = ByteBuffer.allocate(HEADER_BYTES + body.length);
+		bytes.putInt(MAGIC).putInt(body.length).putInt(checksum(body)).put(body);
 		return bytes.flip();
 	}
 
@@ -47,42 +47,43 @@
 	static Scan scan(byte[] content) {
 		List<StoreRecord> records = new ArrayList<>();
 		ByteBuffer bytes = ByteBuffer.wrap(content);
-		int at = 0;
-		while (at < content.length) {
-			OptionalInt end = end(bytes, at);
-			Try<StoreRecord> record = end.isPresent() ? decode(bytes, at, end.getAsInt())
+		int offset = 0;
+		while (offset < content.length) {
+			OptionalInt end = recordEnd(bytes, offset);
+			Try<StoreRecord> record = end.isPresent() ? decode(bytes, offset, end.getAsInt())
 					: Try.failure(new IllegalStateException("bad record"));
 			if (record.isFailure()) {
-				return new Scan(records, at, true, goodRecordAfter(bytes, at + 1));
+				return new Scan(records, offset, true, validRecordAfter(bytes, offset + 1));
 			}
 			records.add(record.get());
-			at = end.getAsInt();
+			offset = end.getAsInt();
 		}
-		return new Scan(records, at, false, false);
+		return new Scan(records, offset, false, false);
 	}
 
-	private static OptionalInt end(ByteBuffer bytes, int at) {
-		int room = bytes.limit() - at - HEAD;
-		if (room < 0 || bytes.getInt(at) != MARK) {
+	private static OptionalInt recordEnd(ByteBuffer bytes, int offset) {
+		int available = bytes.limit() - offset - HEADER_BYTES;
+		if (available < 0 || bytes.getInt(offset) != MAGIC) {
 			return OptionalInt.empty();
 		}
-		int length = bytes.getInt(at + Integer.BYTES);
-		return (length >= 0 && length <= room) ? OptionalInt.of(at + HEAD + length) : OptionalInt.empty();
+		int length = bytes.getInt(offset + Integer.BYTES);
+		return (length >= 0 && length <= available) ? OptionalInt.of(offset + HEADER_BYTES + length)
+				: OptionalInt.empty();
 	}
 
-	private static Try<StoreRecord> decode(ByteBuffer bytes, int at, int end) {
-		byte[] body = new byte[end - at - HEAD];
-		bytes.get(at + HEAD, body);
-		if (bytes.getInt(at + 2 * Integer.BYTES) != checksum(body)) {
+	private static Try<StoreRecord> decode(ByteBuffer bytes, int offset, int end) {
+		byte[] body = new byte[end - offset - HEADER_BYTES];
+		bytes.get(offset + HEADER_BYTES, body);
+		if (bytes.getInt(offset + 2 * Integer.BYTES) != checksum(body)) {
 			return Try.failure(new IllegalStateException("bad checksum"));
 		}
 		return ThriftBytes.decode(body, new StoreRecord());
 	}
 
-	private static boolean goodRecordAfter(ByteBuffer bytes, int from) {
-		for (int at = from; at + HEAD <= bytes.limit(); at++) {
-			OptionalInt end = end(bytes, at);
-			if (end.isPresent() && decode(bytes, at, end.getAsInt()).isSuccess()) {
+	private static boolean validRecordAfter(ByteBuffer bytes, int from) {
+		for (int offset = from; offset + HEADER_BYTES <= bytes.limit(); offset++) {
+			OptionalInt end = recordEnd(bytes, offset);
+			if (end.isPresent() && decode(bytes, offset, end.getAsInt()).isSuccess()) {
 				return true;
 			}
 		}
@@ -100,11 +101,12 @@
 	 * What a file holds.
 	 *
 	 * @param records the good records from the start
-	 * @param end where they end
-	 * @param bad whether something else follows
-	 * @param damaged whether a good record follows after that, so that it is no torn tail
+	 * @param validEnd where they end
+	 * @param hasInvalidRecord whether something else follows
+	 * @param validRecordFollows whether a good record follows after that, so that it is
+	 * no torn tail
 	 */
-	record Scan(List<StoreRecord> records, int end, boolean bad, boolean damaged) {
+	record Scan(List<StoreRecord> records, int validEnd, boolean hasInvalidRecord, boolean validRecordFollows) {
 	}
 
 }
--- a/daemon/src/main/java/org/acaciacourse/daemon/store/ReplicaStore.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/store/ReplicaStore.java
@@ -41,22 +41,22 @@
 	/** Size from which on a segment is closed. */
 	static final long SEGMENT_BYTES = 8 << 20;
 
-	private static final String IDENTITY = "identity";
+	private static final String IDENTITY_FILE = "identity";
 
-	private static final String LOG = "log-";
+	private static final String SEGMENT_PREFIX = "log-";
 
-	private static final String SNAPSHOT = "snapshot-";
+	private static final String SNAPSHOT_PREFIX = "snapshot-";
 
-	private static final String TEMPORARY = "temporary";
+	private static final String TEMPORARY_FILE = "temporary";
 
 	private final Disk disk;
 
 	private final long segmentBytes;
 
 	/** Last index of each closed segment by its sequence number. */
-	private final SortedMap<Long, Long> closed = new TreeMap<>();
+	private final SortedMap<Long, Long> closedSegments = new TreeMap<>();
 
-	private final List<LogRecord> pending = new ArrayList<>();
+	private final List<LogRecord> pendingEntries = new ArrayList<>();
 
 	private ReplicaId identity;
 
@@ -101,7 +101,7 @@
 	static ReplicaStore open(Disk disk, long segmentBytes) {
 		ReplicaStore store = new ReplicaStore(disk, segmentBytes);
 		try {
-			store.guarded(store::load);
+			store.runFailStop(store::load);
 			return store;
 		}
 		catch (StoreException ex) {
@@ -112,16 +112,16 @@
 
 	private void load() throws IOException {
 		List<String> names = this.disk.list();
-		this.identity = names.contains(IDENTITY) ? readIdentity() : makeIdentity(names);
+		this.identity = names.contains(IDENTITY_FILE) ? readIdentity() : createIdentity(names);
 		Optional<Snapshot> snapshot = readSnapshot(names);
 		LogReplay replay = new LogReplay(this.identity.value());
-		List<String> segments = names.stream().filter((name) -> name.startsWith(LOG)).sorted().toList();
+		List<String> segments = names.stream().filter((name) -> name.startsWith(SEGMENT_PREFIX)).sorted().toList();
 		for (int i = 0; i < segments.size(); i++) {
 			replaySegment(segments.get(i), i == segments.size() - 1, replay);
 		}
 		this.recovered = replay.finish(snapshot);
 		this.hardState = this.recovered.hardState();
-		this.sequence = replay.sequence();
+		this.sequence = replay.lastSequence();
 		long snapshotIndex = snapshot.map(Snapshot::index).orElse(0L);
 		List<LogEntry> entries = this.recovered.entries();
 		this.lastIndex = snapshotIndex + entries.size();
@@ -130,18 +130,18 @@
 		segments.stream()
 			.map(ReplicaStore::sequenceOf)
 			.filter((number) -> number <= this.sequence)
-			.forEach((number) -> this.closed.put(number, this.lastIndex));
+			.forEach((number) -> this.closedSegments.put(number, this.lastIndex));
 		startSegment();
 	}
 
 	private void replaySegment(String name, boolean newest, LogReplay replay) throws IOException {
 		Scan scan = RecordFormat.scan(this.disk.read(name));
-		if (scan.damaged() || (scan.bad() && !newest)) {
-			throw new StoreException(ResultCode.LOG_DAMAGED, name + ": bad record at " + scan.end(), null);
+		if (scan.validRecordFollows() || (scan.hasInvalidRecord() && !newest)) {
+			throw new StoreException(ResultCode.LOG_DAMAGED, name + ": bad record at " + scan.validEnd(), null);
 		}
-		scan.records().forEach((record) -> replay.take(name, record));
-		if (scan.bad()) {
-			this.disk.truncate(name, scan.end());
+		scan.records().forEach((record) -> replay.apply(name, record));
+		if (scan.hasInvalidRecord()) {
+			this.disk.truncate(name, scan.validEnd());
 		}
 		if (scan.records().isEmpty() && newest) {
 			this.disk.delete(name);
@@ -150,32 +150,32 @@
 	}
 
 	private ReplicaId readIdentity() throws IOException {
-		Scan scan = RecordFormat.scan(this.disk.read(IDENTITY));
-		if (scan.bad() || scan.records().size() != 1 || !scan.records().get(0).isSetIdentity()) {
-			throw new StoreException(ResultCode.LOG_DAMAGED, IDENTITY + " cannot be read", null);
+		Scan scan = RecordFormat.scan(this.disk.read(IDENTITY_FILE));
+		if (scan.hasInvalidRecord() || scan.records().size() != 1 || !scan.records().get(0).isSetIdentity()) {
+			throw new StoreException(ResultCode.LOG_DAMAGED, IDENTITY_FILE + " cannot be read", null);
 		}
 		return new ReplicaId(scan.records().get(0).getIdentity());
 	}
 
-	private ReplicaId makeIdentity(List<String> names) throws IOException {
-		if (names.stream().anyMatch((name) -> name.startsWith(LOG) || name.startsWith(SNAPSHOT))) {
-			throw new StoreException(ResultCode.LOG_DAMAGED, IDENTITY + " is missing", null);
+	private ReplicaId createIdentity(List<String> names) throws IOException {
+		if (names.stream().anyMatch((name) -> name.startsWith(SEGMENT_PREFIX) || name.startsWith(SNAPSHOT_PREFIX))) {
+			throw new StoreException(ResultCode.LOG_DAMAGED, IDENTITY_FILE + " is missing", null);
 		}
 		long value = new SecureRandom().nextLong() & Long.MAX_VALUE;
 		ReplicaId id = new ReplicaId(Math.max(value, 1));
-		replace(IDENTITY, StoreRecord.identity(id.value()));
+		replaceAtomically(IDENTITY_FILE, StoreRecord.identity(id.value()));
 		return id;
 	}
 
 	private Optional<Snapshot> readSnapshot(List<String> names) throws IOException {
 		Optional<String> latest = names.stream()
-			.filter((name) -> name.startsWith(SNAPSHOT))
+			.filter((name) -> name.startsWith(SNAPSHOT_PREFIX))
 			.max(Comparator.naturalOrder());
 		if (latest.isEmpty()) {
 			return Optional.empty();
 		}
 		Scan scan = RecordFormat.scan(this.disk.read(latest.get()));
-		if (scan.bad() || scan.records().size() != 1 || !scan.records().get(0).isSetSnapshot()) {
+		if (scan.hasInvalidRecord() || scan.records().size() != 1 || !scan.records().get(0).isSetSnapshot()) {
 			throw new StoreException(ResultCode.LOG_DAMAGED, latest.get() + " cannot be read", null);
 		}
 		return Optional.of(ReplicaCodec.decode(scan.records().get(0).getSnapshot()));
@@ -213,7 +213,7 @@
 	 */
 	public void put(List<LogEntry> entries) {
 		for (LogEntry entry : entries) {
-			this.pending.add(ReplicaCodec.encode(entry));
+			this.pendingEntries.add(ReplicaCodec.encode(entry));
 			this.lastIndex = entry.index();
 			this.lastTerm = entry.term();
 		}
@@ -224,26 +224,26 @@
 	 * @return whether {@link #sync} has work
 	 */
 	public boolean isDirty() {
-		return this.hardStatePending || !this.pending.isEmpty();
+		return this.hardStatePending || !this.pendingEntries.isEmpty();
 	}
 
 	/**
 	 * Make all that was put durable.
 	 */
 	public void sync() {
-		guarded(this::writeBatch);
+		runFailStop(this::writeBatch);
 	}
 
 	private void writeBatch() throws IOException {
 		if (!isDirty()) {
 			return;
 		}
-		BatchRecord batch = new BatchRecord(List.copyOf(this.pending));
+		BatchRecord batch = new BatchRecord(List.copyOf(this.pendingEntries));
 		if (this.hardStatePending) {
 			batch.setHardState(ReplicaCodec.encode(this.hardState));
 		}
 		write(StoreRecord.batch(batch));
-		this.pending.clear();
+		this.pendingEntries.clear();
 		this.hardStatePending = false;
 		if (this.segmentSize >= this.segmentBytes) {
 			startSegment();
@@ -262,7 +262,7 @@
 	 * @param snapshot the snapshot
 	 */
 	public void save(Snapshot snapshot) {
-		guarded(() -> {
+		runFailStop(() -> {
 			writeSnapshot(snapshot);
 			deleteSegmentsUpTo(snapshot.index());
 		});
@@ -274,9 +274,9 @@
 	 * @param snapshot the snapshot
 	 */
 	public void install(Snapshot snapshot) {
-		guarded(() -> {
+		runFailStop(() -> {
 			writeSnapshot(snapshot);
-			this.pending.clear();
+			this.pendingEntries.clear();
 			this.lastIndex = snapshot.index();
 			this.lastTerm = snapshot.term();
 			startSegment();
@@ -307,27 +307,27 @@
 	}
 
 	private void writeSnapshot(Snapshot snapshot) throws IOException {
-		String name = String.format(Locale.ROOT, SNAPSHOT + "%016x", snapshot.index());
-		replace(name, StoreRecord.snapshot(ReplicaCodec.encode(snapshot)));
+		String name = String.format(Locale.ROOT, SNAPSHOT_PREFIX + "%016x", snapshot.index());
+		replaceAtomically(name, StoreRecord.snapshot(ReplicaCodec.encode(snapshot)));
 		for (String other : this.disk.list()) {
-			if (other.startsWith(SNAPSHOT) && other.compareTo(name) < 0) {
+			if (other.startsWith(SNAPSHOT_PREFIX) && other.compareTo(name) < 0) {
 				this.disk.delete(other);
 			}
 		}
 	}
 
 	private void deleteSegmentsUpTo(long index) throws IOException {
-		while (!this.closed.isEmpty() && this.closed.get(this.closed.firstKey()) <= index) {
-			this.disk.delete(segmentName(this.closed.firstKey()));
+		while (!this.closedSegments.isEmpty() && this.closedSegments.get(this.closedSegments.firstKey()) <= index) {
+			this.disk.delete(segmentName(this.closedSegments.firstKey()));
 			this.disk.syncFolder();
-			this.closed.remove(this.closed.firstKey());
+			this.closedSegments.remove(this.closedSegments.firstKey());
 		}
 	}
 
 	private void startSegment() throws IOException {
 		if (this.segment != null) {
 			this.segment.close();
-			this.closed.put(this.sequence, this.lastIndex);
+			this.closedSegments.put(this.sequence, this.lastIndex);
 		}
 		this.sequence++;
 		this.segmentSize = 0;
@@ -338,27 +338,27 @@
 		this.disk.syncFolder();
 	}
 
-	private void replace(String name, StoreRecord record) throws IOException {
-		if (this.disk.list().contains(TEMPORARY)) {
-			this.disk.delete(TEMPORARY);
+	private void replaceAtomically(String name, StoreRecord record) throws IOException {
+		if (this.disk.list().contains(TEMPORARY_FILE)) {
+			this.disk.delete(TEMPORARY_FILE);
 		}
-		try (Disk.AppendFile file = this.disk.append(TEMPORARY)) {
+		try (Disk.AppendFile file = this.disk.append(TEMPORARY_FILE)) {
 			file.write(RecordFormat.encode(record));
 			file.sync();
 		}
-		this.disk.rename(TEMPORARY, name);
+		this.disk.rename(TEMPORARY_FILE, name);
 		this.disk.syncFolder();
 	}
 
 	private static String segmentName(long sequence) {
-		return String.format(Locale.ROOT, LOG + "%016x", sequence);
+		return String.format(Locale.ROOT, SEGMENT_PREFIX + "%016x", sequence);
 	}
 
 	private static long sequenceOf(String name) {
-		return Long.parseLong(name.substring(LOG.length()), 16);
+		return Long.parseLong(name.substring(SEGMENT_PREFIX.length()), 16);
 	}
 
-	private void guarded(CheckedRunnable action) {
+	private void runFailStop(DiskAction action) {
 		if (this.failure != null) {
 			throw this.failure;
 		}
@@ -390,7 +390,7 @@
 
 	/** An action on the disk. */
 	@FunctionalInterface
-	private interface CheckedRunnable {
+	private interface DiskAction {
 
 		void run() throws IOException;
 
--- a/daemon/src/test/java/org/acaciacourse/daemon/store/MemoryDisk.java
+++ b/daemon/src/test/java/org/acaciacourse/daemon/store/MemoryDisk.java
@@ -13,9 +13,9 @@
  */
 public final class MemoryDisk implements Disk {
 
-	private Map<String, Content> names = new HashMap<>();
+	private Map<String, Content> files = new HashMap<>();
 
-	private Map<String, Content> durableNames = new HashMap<>();
+	private Map<String, Content> durableFiles = new HashMap<>();
 
 	private volatile int operationsUntilFailure = Integer.MAX_VALUE;
 
@@ -44,13 +44,13 @@
 	/** Lose power: only what was synced is left, and the disk works again. */
 	MemoryDisk crash() {
 		MemoryDisk after = new MemoryDisk();
-		this.durableNames.forEach((name, content) -> {
+		this.durableFiles.forEach((name, content) -> {
 			Content kept = new Content();
 			kept.bytes.writeBytes(content.durable);
 			kept.durable = content.durable;
-			after.names.put(name, kept);
+			after.files.put(name, kept);
 		});
-		after.durableNames = new HashMap<>(after.names);
+		after.durableFiles = new HashMap<>(after.files);
 		return after;
 	}
 
@@ -58,16 +58,16 @@
 		Content content = new Content();
 		content.bytes.writeBytes(bytes);
 		content.durable = bytes;
-		this.names.put(name, content);
-		this.durableNames.put(name, content);
+		this.files.put(name, content);
+		this.durableFiles.put(name, content);
 	}
 
 	void remove(String name) {
-		this.names.remove(name);
-		this.durableNames.remove(name);
+		this.files.remove(name);
+		this.durableFiles.remove(name);
 	}
 
-	private void operate() throws IOException {
+	private void countOperation() throws IOException {
 		if (this.operations++ >= this.operationsUntilFailure) {
 			throw new IOException("No space left on device");
 		}
@@ -75,29 +75,29 @@
 
 	@Override
 	public List<String> list() {
-		return this.names.keySet().stream().sorted().toList();
+		return this.files.keySet().stream().sorted().toList();
 	}
 
 	@Override
 	public byte[] read(String name) {
-		return this.names.get(name).bytes.toByteArray();
+		return this.files.get(name).bytes.toByteArray();
 	}
 
 	@Override
 	public AppendFile append(String name) throws IOException {
-		operate();
-		Content content = this.names.computeIfAbsent(name, (n) -> new Content());
+		countOperation();
+		Content content = this.files.computeIfAbsent(name, (n) -> new Content());
 		return new AppendFile() {
 
 			@Override
 			public void write(ByteBuffer bytes) throws IOException {
-				operate();
+				countOperation();
 				content.bytes.write(bytes.array(), bytes.arrayOffset() + bytes.position(), bytes.remaining());
 			}
 
 			@Override
 			public void sync() throws IOException {
-				operate();
+				countOperation();
 				MemoryDisk.this.syncs++;
 				content.durable = content.bytes.toByteArray();
 			}
@@ -111,26 +111,26 @@
 
 	@Override
 	public void truncate(String name, long size) throws IOException {
-		operate();
+		countOperation();
 		overwrite(name, Arrays.copyOf(read(name), (int) size));
 	}
 
 	@Override
 	public void rename(String from, String to) throws IOException {
-		operate();
-		this.names.put(to, this.names.remove(from));
+		countOperation();
+		this.files.put(to, this.files.remove(from));
 	}
 
 	@Override
 	public void delete(String name) throws IOException {
-		operate();
-		this.names.remove(name);
+		countOperation();
+		this.files.remove(name);
 	}
 
 	@Override
 	public void syncFolder() throws IOException {
-		operate();
-		this.durableNames = new HashMap<>(this.names);
+		countOperation();
+		this.durableFiles = new HashMap<>(this.files);
 	}
 
 	@Override
--- a/daemon/src/test/java/org/acaciacourse/daemon/store/ReplicaStoreTests.java
+++ b/daemon/src/test/java/org/acaciacourse/daemon/store/ReplicaStoreTests.java
@@ -76,7 +76,7 @@
 		private Path folder;
 
 		@Test
-		void restartAfterFiveHundredChangesReturnsTheLastWithTheNewestFileTorn() throws Exception {
+		void lastOfFiveHundredChangesSurvivesATornWrite() throws Exception {
 			// The operator sees change 500 accepted, then the VM loses power in the
 			// middle of the next write: the newest file ends in half a record. After
 			// the restart the 500th change has to be there, because it was synced
@@ -102,7 +102,7 @@
 		}
 
 		@Test
-		void secondProcessIsRefused() {
+		void secondOpenIsRefused() {
 			try (ReplicaStore store = ReplicaStore.open(this.folder)) {
 				assertThat(store.recovered().isFresh()).isTrue();
 				assertThat(failure(() -> ReplicaStore.open(this.folder))).hasValue(ResultCode.DATA_FOLDER_LOCKED);
@@ -168,7 +168,7 @@
 		}
 
 		@Test
-		void atEveryOperationOfAnInstallKeepTheOldOrTheNewState() throws Exception {
+		void atEveryOperationOfAnInstallKeepOldLogOrSnapshot() throws Exception {
 			// A follower that was far behind gets a snapshot and the power goes at any
 			// point of taking it in. It must come back with the old log or the snapshot,
 			// never with entries of the old log behind the snapshot.
@@ -190,7 +190,7 @@
 		}
 
 		@Test
-		void tornTailIsCutWhereverItTears() throws Exception {
+		void tornTailIsTruncatedAtAnyLength() throws Exception {
 			// The power goes while a record is being written: any part of it may be in
 			// the newest file. What was synced before stays, the rest is cut.
 			MemoryDisk disk = new MemoryDisk();
@@ -264,7 +264,7 @@
 	class FailedDisk {
 
 		@Test
-		void isNeverUsedAgain() {
+		void isNotUsedAfterAFailure() {
 			// A sync fails once, the kernel drops the pages and reports the next sync as
 			// good. A store that tried again would answer for entries that are not on
 			// disk.
@@ -290,7 +290,7 @@
 		}
 
 		@Test
-		void entriesOfALaterTermVoidTheEarlier() {
+		void entriesOfALaterTermReplaceEarlierOnes() {
 			ReplicaStore store = ReplicaStore.open(this.disk, 200);
 			append(store, 1, 20, 1);
 			append(store, 11, 12, 2);
@@ -313,7 +313,7 @@
 		}
 
 		@Test
-		void foundingIsKeptAndDoneOnce() {
+		void firstEntryIsDurableAndWrittenOnce() {
 			ReplicaStore store = ReplicaStore.open(this.disk, 200);
 			HardState state = new HardState(1, Optional.of(store.identity()));
 			store.found(state, entry(1, 1));
