--- a/daemon/src/main/java/org/acaciacourse/daemon/codec/CommandCodec.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/codec/CommandCodec.java
@@ -77,72 +77,72 @@
 			.mapTry((struct) -> command(struct.getProposedAt(), struct.getBody()));
 	}
 
-	private static Command command(long at, CommandBody body) {
+	private static Command command(long proposedAt, CommandBody body) {
 		return switch (body.getSetField()) {
 			case PUT_MANIFEST -> {
 				PutManifestCommand c = body.getPutManifest();
-				yield new PutManifest(at, c.getNumber(), c.getDigest(), c.getBaseDigest(),
+				yield new PutManifest(proposedAt, c.getNumber(), c.getDigest(), c.getBaseDigest(),
 						ManifestCodec.decode(c.getDelta()), c.getOperatorName());
 			}
-			case ACQUIRE_LEASE -> acquireLease(at, body.getAcquireLease());
-			case RELEASE_LEASE -> releaseLease(at, body.getReleaseLease());
-			case CLAIM -> claim(at, body.getClaim());
-			case COMPLETE_CLAIM -> completeClaim(at, body.getCompleteClaim());
-			case END_OWNER -> new EndOwner(at, body.getEndOwner().getOwner());
-			case REPORT_CRASH -> reportCrash(at, body.getReportCrash());
+			case ACQUIRE_LEASE -> acquireLease(proposedAt, body.getAcquireLease());
+			case RELEASE_LEASE -> releaseLease(proposedAt, body.getReleaseLease());
+			case CLAIM -> claim(proposedAt, body.getClaim());
+			case COMPLETE_CLAIM -> completeClaim(proposedAt, body.getCompleteClaim());
+			case END_OWNER -> new EndOwner(proposedAt, body.getEndOwner().getOwner());
+			case REPORT_CRASH -> reportCrash(proposedAt, body.getReportCrash());
 		};
 	}
 
 	/**
 	 * Decode a call to acquire a lease.
-	 * @param at the proposer's wall-clock time
-	 * @param call the struct
+	 * @param proposedAt the proposer's wall-clock time
+	 * @param struct the struct
 	 * @return the command
 	 */
-	public static AcquireLease acquireLease(long at, AcquireLeaseCommand call) {
-		return new AcquireLease(at, call.getLease(), call.getHolder(), call.getDurationMillis());
+	public static AcquireLease acquireLease(long proposedAt, AcquireLeaseCommand struct) {
+		return new AcquireLease(proposedAt, struct.getLease(), struct.getHolder(), struct.getDurationMillis());
 	}
 
 	/**
 	 * Decode a call to release a lease.
-	 * @param at the proposer's wall-clock time
-	 * @param call the struct
+	 * @param proposedAt the proposer's wall-clock time
+	 * @param struct the struct
 	 * @return the command
 	 */
-	public static ReleaseLease releaseLease(long at, ReleaseLeaseCommand call) {
-		return new ReleaseLease(at, call.getLease(), call.getHolder(), call.getFencingNumber());
+	public static ReleaseLease releaseLease(long proposedAt, ReleaseLeaseCommand struct) {
+		return new ReleaseLease(proposedAt, struct.getLease(), struct.getHolder(), struct.getFencingNumber());
 	}
 
 	/**
 	 * Decode a call to claim.
-	 * @param at the proposer's wall-clock time
-	 * @param call the struct
+	 * @param proposedAt the proposer's wall-clock time
+	 * @param struct the struct
 	 * @return the command
 	 */
-	public static Claim claim(long at, ClaimCommand call) {
-		ClaimKey key = new ClaimKey(call.getCustomer(), call.getIdempotencyKey());
-		return new Claim(at, key, call.getContentHash(), call.getOwner());
+	public static Claim claim(long proposedAt, ClaimCommand struct) {
+		ClaimKey key = new ClaimKey(struct.getCustomer(), struct.getIdempotencyKey());
+		return new Claim(proposedAt, key, struct.getContentHash(), struct.getOwner());
 	}
 
 	/**
 	 * Decode a call to complete a claim.
-	 * @param at the proposer's wall-clock time
-	 * @param call the struct
+	 * @param proposedAt the proposer's wall-clock time
+	 * @param struct the struct
 	 * @return the command
 	 */
-	public static CompleteClaim completeClaim(long at, CompleteClaimCommand call) {
-		ClaimKey key = new ClaimKey(call.getCustomer(), call.getIdempotencyKey());
-		return new CompleteClaim(at, key, call.getOwner(), outcome(call.getOutcome()), call.getAnswer());
+	public static CompleteClaim completeClaim(long proposedAt, CompleteClaimCommand struct) {
+		ClaimKey key = new ClaimKey(struct.getCustomer(), struct.getIdempotencyKey());
+		return new CompleteClaim(proposedAt, key, struct.getOwner(), outcome(struct.getOutcome()), struct.getAnswer());
 	}
 
 	/**
 	 * Decode a report of a crash.
-	 * @param at the proposer's wall-clock time
-	 * @param call the struct
+	 * @param proposedAt the proposer's wall-clock time
+	 * @param struct the struct
 	 * @return the command
 	 */
-	public static ReportCrash reportCrash(long at, ReportCrashCommand call) {
-		return new ReportCrash(at, call.getContentHash(), call.getCrashes());
+	public static ReportCrash reportCrash(long proposedAt, ReportCrashCommand struct) {
+		return new ReportCrash(proposedAt, struct.getContentHash(), struct.getCrashes());
 	}
 
 	/**
--- a/daemon/src/main/java/org/acaciacourse/daemon/codec/LoadPeersCodec.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/codec/LoadPeersCodec.java
@@ -43,21 +43,21 @@
 	}
 
 	private static long revision(List<LoadPeer> peers) {
-		String all = peers.stream()
+		String text = peers.stream()
 			.map((peer) -> peer.address() + " " + peer.dataCentre())
 			.collect(Collectors.joining("\n"));
-		return HASH.hashBytes(all.getBytes(StandardCharsets.UTF_8));
+		return HASH.hashBytes(text.getBytes(StandardCharsets.UTF_8));
 	}
 
 	/**
 	 * Read the peers from an answer. A control VM of an older release tells them each
 	 * time, without revision and data centres.
 	 * @param reply the answer
-	 * @param known the revision that the poll asked with
+	 * @param knownRevision the revision that the poll asked with
 	 * @return the peers, if they may differ from those that are known
 	 */
-	public static Optional<List<LoadPeer>> read(PollReply reply, long known) {
-		if (reply.isSetPeersRevision() && reply.getPeersRevision() == known) {
+	public static Optional<List<LoadPeer>> read(PollReply reply, long knownRevision) {
+		if (reply.isSetPeersRevision() && reply.getPeersRevision() == knownRevision) {
 			return Optional.empty();
 		}
 		List<String> addresses = reply.getPeers();
--- a/daemon/src/main/java/org/acaciacourse/daemon/codec/StateCodec.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/codec/StateCodec.java
@@ -110,9 +110,9 @@
 
 	private static ClaimRecord decode(ClaimEntryRecord claim) {
 		ClaimKey key = new ClaimKey(claim.getCustomer(), claim.getIdempotencyKey());
-		Optional<byte[]> answer = (claim.isSetAnswer()) ? Optional.of(claim.getAnswer()) : Optional.empty();
+		Optional<byte[]> response = (claim.isSetAnswer()) ? Optional.of(claim.getAnswer()) : Optional.empty();
 		return new ClaimRecord(key, claim.getContentHash(), claim.getOwner(), CommandCodec.outcome(claim.getOutcome()),
-				claim.getChangedAt(), answer);
+				claim.getChangedAt(), response);
 	}
 
 	private static CrashRecord encode(ControlStateSnapshot.CrashRecord crash) {
--- a/daemon/src/main/java/org/acaciacourse/daemon/codec/ThriftBytes.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/codec/ThriftBytes.java
@@ -64,13 +64,13 @@
 	 * Decode a struct.
 	 * @param <T> the type of the struct
 	 * @param bytes the bytes
-	 * @param empty an empty struct, which gets the fields
+	 * @param target an empty struct, which gets the fields
 	 * @return the struct, or a failure if the bytes are none
 	 */
-	public static <T extends TBase<?, ?>> Try<T> decode(byte[] bytes, T empty) {
+	public static <T extends TBase<?, ?>> Try<T> decode(byte[] bytes, T target) {
 		return Try.of(() -> {
-			empty.read(protocol().getProtocol(input(bytes)));
-			return empty;
+			target.read(protocol().getProtocol(input(bytes)));
+			return target;
 		});
 	}
 
--- a/daemon/src/test/java/org/acaciacourse/daemon/codec/CodecTests.java
+++ b/daemon/src/test/java/org/acaciacourse/daemon/codec/CodecTests.java
@@ -61,7 +61,7 @@
 	class Messages {
 
 		@Test
-		void comeBackAsTheyWere() {
+		void surviveARoundTrip() {
 			LogEntry noop = new LogEntry(8, 2, LogEntry.Kind.NOOP, new byte[0]);
 			List<ReplicaMessage> messages = List.of(new VoteRequest(ID, 3, 8, 2, true, false),
 					new VoteReply(ID, 3, false, true), new AppendRequest(ID, 3, 7, 2, List.of(), 6, 40),
@@ -81,7 +81,7 @@
 		}
 
 		@Test
-		void garbageIsAFailureAndNoMore() {
+		void malformedBytesDecodeToAFailure() {
 			// Something else than a replica talks to the port, or a frame is cut: the
 			// caller gets a failure, whatever the bytes, and no memory is reserved on
 			// their word.
@@ -108,7 +108,7 @@
 	class CommandsAndState {
 
 		@Test
-		void commandsComeBackAsTheyWere() {
+		void commandsSurviveARoundTrip() {
 			for (Command command : commands()) {
 				Command back = CommandCodec.decode(CommandCodec.encode(command)).get();
 				assertThat(CommandCodec.encode(back)).isEqualTo(CommandCodec.encode(command));
@@ -118,7 +118,7 @@
 		}
 
 		@Test
-		void restoredStateGoesOnLikeTheOriginal() {
+		void restoredStateEqualsTheOriginal() {
 			ControlState state = new ControlState();
 			long index = 1;
 			for (Command command : commands()) {
--- a/daemon/src/test/java/org/acaciacourse/daemon/codec/LoadDigestCodecTests.java
+++ b/daemon/src/test/java/org/acaciacourse/daemon/codec/LoadDigestCodecTests.java
@@ -21,7 +21,7 @@
 	private static final List<PeerLoads.Load> LOADS = List.of(new PeerLoads.Load(-7, 2, 17_000, 1));
 
 	@Test
-	void digestIsReadAsItWasWritten() {
+	void digestSurvivesARoundTrip() {
 		LoadDigest view = new LoadDigest(LoadDigest.Kind.VIEW, 1L << 50, 1, 3, 95, LOADS,
 				List.of(new PartUse(5, new PromptShape.Part(-1, 13_300))), Map.of(4, 9L, -4, 10L));
 		assertThat(LoadDigestCodec.decode(LoadDigestCodec.encode(view)).get()).isEqualTo(view);
@@ -29,7 +29,7 @@
 
 	// Entries are replaced one after the other: those of the release before tell less.
 	@Test
-	void digestOfTheReleaseBeforeIsItsSendersOwnLoad() {
+	void digestOfThePreviousReleaseHoldsOnlyTheSendersLoad() {
 		byte[] bytes = ThriftBytes.encode(new LoadDigestRecord(3, List.of(new EndpointLoadRecord(-7, 2, 17_000, 1))));
 		assertThat(LoadDigestCodec.decode(bytes).get())
 			.isEqualTo(new LoadDigest(LoadDigest.Kind.SUMMARY, 3, 0, 1, 1, LOADS, List.of(), Map.of()));
@@ -38,26 +38,26 @@
 	@Nested
 	class Malformed {
 
-		private static LoadDigestRecord sound() {
+		private static LoadDigestRecord validRecord() {
 			return new LoadDigestRecord(3, List.of(new EndpointLoadRecord(1, 1, 1, 0)));
 		}
 
-		private void assertRefused(LoadDigestRecord record) {
+		private void assertDecodingFails(LoadDigestRecord record) {
 			assertThat(LoadDigestCodec.decode(ThriftBytes.encode(record)).isFailure()).isTrue();
 		}
 
 		@Test
-		void valuesOutOfTheirRangeAreRefused() {
-			assertRefused(sound().setKind(3));
-			assertRefused(sound().setKind(-1));
-			assertRefused(sound().setPart(1));
-			assertRefused(sound().setPart(-1).setParts(2));
-			assertRefused(sound().setParts(0));
-			assertRefused(sound().setParts(1_000_000));
-			assertRefused(sound().setVms(0));
-			assertRefused(new LoadDigestRecord(3, List.of(new EndpointLoadRecord(1, -1, 1, 0))));
-			assertRefused(new LoadDigestRecord(3, List.of(new EndpointLoadRecord(1, 1, -1, 0))));
-			assertRefused(new LoadDigestRecord(3, List.of(new EndpointLoadRecord(1, 1, 1, -1))));
+		void outOfRangeValuesAreRejected() {
+			assertDecodingFails(validRecord().setKind(3));
+			assertDecodingFails(validRecord().setKind(-1));
+			assertDecodingFails(validRecord().setPart(1));
+			assertDecodingFails(validRecord().setPart(-1).setParts(2));
+			assertDecodingFails(validRecord().setParts(0));
+			assertDecodingFails(validRecord().setParts(1_000_000));
+			assertDecodingFails(validRecord().setVms(0));
+			assertDecodingFails(new LoadDigestRecord(3, List.of(new EndpointLoadRecord(1, -1, 1, 0))));
+			assertDecodingFails(new LoadDigestRecord(3, List.of(new EndpointLoadRecord(1, 1, -1, 0))));
+			assertDecodingFails(new LoadDigestRecord(3, List.of(new EndpointLoadRecord(1, 1, 1, -1))));
 		}
 
 		// Whatever bytes come, reading them ends with a digest or a failure.
