--- a/daemon/src/main/java/org/acaciacourse/daemon/link/ConfigurationFollower.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/link/ConfigurationFollower.java
@@ -47,9 +47,9 @@
 	// Empty until there is a configuration, so that the first one comes as a whole.
 	private String digest = "";
 
-	private boolean wholeNeeded;
+	private boolean fullDocumentNeeded;
 
-	private final RouteTableParser routes = new RouteTableParser();
+	private final RouteTableParser routeTableParser = new RouteTableParser();
 
 	private Fleet fleet = Fleet.NONE;
 
@@ -72,7 +72,7 @@
 	 * @return the digest in force, empty if the whole document is needed
 	 */
 	String digest() {
-		return (this.wholeNeeded) ? "" : this.digest;
+		return (this.fullDocumentNeeded) ? "" : this.digest;
 	}
 
 	long peersRevision() {
@@ -88,20 +88,20 @@
 	 * @param reply a good answer to a poll
 	 * @return whether what is in force here is at least as new as the answer
 	 */
-	boolean take(PollReply reply) {
+	boolean apply(PollReply reply) {
 		if (reply.getNumber() > this.number) {
-			takeDocument(reply);
+			applyDocument(reply);
 		}
-		takeCrashes(reply);
-		takeNotices(reply.getNotices());
-		takeFleet(reply);
-		takePeers(reply);
-		takeEntryCount(reply.getEntryCount());
+		applyCrashes(reply);
+		applyNotices(reply.getNotices());
+		applyFleet(reply);
+		applyPeers(reply);
+		applyEntryCount(reply.getEntryCount());
 		return this.number >= reply.getNumber();
 	}
 
 	// A reply without a count names 0.
-	private void takeEntryCount(int count) {
+	private void applyEntryCount(int count) {
 		if (count > 0 && count == this.entryCount) {
 			this.listener.entryCountConfirmed();
 		}
@@ -111,43 +111,43 @@
 		}
 	}
 
-	private void takePeers(PollReply reply) {
+	private void applyPeers(PollReply reply) {
 		LoadPeersCodec.read(reply, this.peersRevision).ifPresent((peers) -> {
 			this.peersRevision = reply.getPeersRevision();
 			this.listener.peers(peers);
 		});
 	}
 
-	private void takeDocument(PollReply reply) {
+	private void applyDocument(PollReply reply) {
 		Optional<ManifestDocument> next = documentOf(reply);
 		if (next.isEmpty()) {
 			LOGGER.warn("the change to manifest {} does not fit, the whole is asked for", reply.getNumber());
-			this.wholeNeeded = true;
+			this.fullDocumentNeeded = true;
 			return;
 		}
-		Optional<Runnable> news = newsOf(next.get(), reply.getNumber());
-		if (news.isEmpty()) {
+		Optional<Runnable> notification = notificationOf(next.get(), reply.getNumber());
+		if (notification.isEmpty()) {
 			return;
 		}
 		this.document = next.get();
 		this.number = reply.getNumber();
 		this.digest = reply.getDigest();
-		this.wholeNeeded = false;
-		news.get().run();
+		this.fullDocumentNeeded = false;
+		notification.get().run();
 	}
 
-	private Optional<Runnable> newsOf(ManifestDocument next, long newNumber) {
-		Either<List<Problem>, Runnable> news = (RouteTableParser.isRouting(next))
-				? this.routes.parse(next).map((table) -> () -> this.listener.routes(table))
+	private Optional<Runnable> notificationOf(ManifestDocument next, long newNumber) {
+		Either<List<Problem>, Runnable> notification = (RouteTableParser.isRouting(next))
+				? this.routeTableParser.parse(next).map((table) -> () -> this.listener.routes(table))
 				: ManifestParser.manifest(next).map((manifest) -> () -> this.listener.manifest(manifest));
-		if (news.isLeft()) {
+		if (notification.isLeft()) {
 			LOGGER.error("manifest {} cannot be used by this version, the one before stays in force: {}", newNumber,
-					news.getLeft());
+					notification.getLeft());
 		}
-		return news.toJavaOptional();
+		return notification.toJavaOptional();
 	}
 
-	private void takeFleet(PollReply reply) {
+	private void applyFleet(PollReply reply) {
 		if (reply.isSetFleet()) {
 			this.fleet = new Fleet(reply.getFleetRevision(), FleetCodec.decode(reply.getFleet()));
 		}
@@ -163,7 +163,7 @@
 	private Optional<ManifestDocument> documentOf(PollReply reply) {
 		if (reply.isSetSnapshot()) {
 			return Optional.of(ManifestCodec.decode(reply.getSnapshot()))
-				.filter((document) -> isWhole(document, reply));
+				.filter((document) -> isIntact(document, reply));
 		}
 		if (reply.isSetDelta() && reply.getBaseDigest().equals(this.digest)) {
 			return Optional.of(this.document.with(ManifestCodec.decode(reply.getDelta())))
@@ -172,33 +172,33 @@
 		return Optional.empty();
 	}
 
-	private static boolean isWhole(ManifestDocument document, PollReply reply) {
+	private static boolean isIntact(ManifestDocument document, PollReply reply) {
 		return (reply.isSetChecksum()) ? document.checksum() == reply.getChecksum()
 				: document.digest().equals(reply.getDigest());
 	}
 
-	private void takeCrashes(PollReply reply) {
+	private void applyCrashes(PollReply reply) {
 		reply.getCrashes().forEach((crash) -> this.listener.crash(crash.getContentHash(), crash.getCrashes()));
 		this.crashRevision = Math.max(this.crashRevision, reply.getCrashRevision());
 	}
 
-	private void takeNotices(List<EndpointNotice> notices) {
-		Map<String, EndpointStatus> next = new HashMap<>();
+	private void applyNotices(List<EndpointNotice> notices) {
+		Map<String, EndpointStatus> newStatuses = new HashMap<>();
 		for (EndpointNotice notice : notices) {
 			if (notice.getStatus() >= 0 && notice.getStatus() < EndpointStatus.values().length) {
-				next.put(notice.getEndpoint(), EndpointStatus.values()[notice.getStatus()]);
+				newStatuses.put(notice.getEndpoint(), EndpointStatus.values()[notice.getStatus()]);
 			}
 		}
 		Set<String> names = new HashSet<>(this.statuses.keySet());
-		names.addAll(next.keySet());
+		names.addAll(newStatuses.keySet());
 		for (String name : names) {
-			EndpointStatus now = next.getOrDefault(name, EndpointStatus.LIVE);
-			if (now != this.statuses.getOrDefault(name, EndpointStatus.LIVE)) {
-				this.listener.endpointStatus(name, now);
+			EndpointStatus status = newStatuses.getOrDefault(name, EndpointStatus.LIVE);
+			if (status != this.statuses.getOrDefault(name, EndpointStatus.LIVE)) {
+				this.listener.endpointStatus(name, status);
 			}
 		}
 		this.statuses.clear();
-		this.statuses.putAll(next);
+		this.statuses.putAll(newStatuses);
 	}
 
 }
--- a/daemon/src/main/java/org/acaciacourse/daemon/link/ConfigurationPoller.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/link/ConfigurationPoller.java
@@ -35,19 +35,19 @@
 	 * this and the timeout's reserve, within the time that a change may take to be in
 	 * force; shorter polls would cost more wake-ups for nothing.
 	 */
-	private static final long WAIT_MILLIS = 900;
+	private static final long POLL_WAIT_MILLIS = 900;
 
-	private static final Duration TIMEOUT = Duration.ofMillis(WAIT_MILLIS + 600);
+	private static final Duration CALL_TIMEOUT = Duration.ofMillis(POLL_WAIT_MILLIS + 600);
 
 	/**
 	 * The pause after a poll that failed. The control VM itself holds a poll for a while
 	 * that it can't answer yet.
 	 */
-	private static final long PAUSE_MILLIS = 50;
+	private static final long RETRY_DELAY_MILLIS = 50;
 
 	private final LinkOptions options;
 
-	private final String run;
+	private final String runId;
 
 	private final ConfigurationFollower follower;
 
@@ -66,22 +66,22 @@
 
 	private Optional<InnerConnection> connection = Optional.empty();
 
-	private int next;
+	private int controlIndex;
 
-	private boolean latestKnown;
+	private boolean latestConfirmed;
 
 	private volatile boolean leaving;
 
-	ConfigurationPoller(LinkOptions options, String run, ControlLink.Listener listener,
+	ConfigurationPoller(LinkOptions options, String runId, ControlLink.Listener listener,
 			Supplier<List<ClassReport>> reports) {
 		this.options = options;
-		this.run = run;
+		this.runId = runId;
 		this.listener = listener;
 		this.reports = reports;
 		this.seeds = options.seeds();
 		this.follower = new ConfigurationFollower(listener);
 		this.controls = options.controls();
-		this.next = Math.floorMod(options.vm().hashCode(), this.controls.size());
+		this.controlIndex = Math.floorMod(options.vm().hashCode(), this.controls.size());
 		this.thread = new Thread(this::run, "control-poll-" + options.vm());
 		this.thread.setDaemon(true);
 	}
@@ -95,16 +95,16 @@
 	 */
 	void leaving() {
 		this.leaving = true;
-		Thread teller = new Thread(this::tellLeaving, "control-leaving");
-		teller.setDaemon(true);
-		teller.start();
+		Thread sender = new Thread(this::sendLeaving, "control-leaving");
+		sender.setDaemon(true);
+		sender.start();
 	}
 
-	private void tellLeaving() {
+	private void sendLeaving() {
 		for (String address : this.controls) {
-			try (InnerConnection direct = InnerConnection.open(address, TIMEOUT)) {
-				PollRequest request = new PollRequest(this.options.vm(), this.run, this.options.dataCentre(), 0, "", 0,
-						0, List.of(), false, true, 0, "");
+			try (InnerConnection direct = InnerConnection.open(address, CALL_TIMEOUT)) {
+				PollRequest request = new PollRequest(this.options.vm(), this.runId, this.options.dataCentre(), 0, "",
+						0, 0, List.of(), false, true, 0, "");
 				direct.control().poll(this.options.key().text(), request);
 				return;
 			}
@@ -119,8 +119,8 @@
 			while (this.closed.getCount() > 0) {
 				if (!pollOnce()) {
 					disconnect();
-					this.next = (this.next + 1) % this.controls.size();
-					this.closed.await(PAUSE_MILLIS, TimeUnit.MILLISECONDS);
+					this.controlIndex = (this.controlIndex + 1) % this.controls.size();
+					this.closed.await(RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
 				}
 			}
 		}
@@ -133,18 +133,18 @@
 	private boolean pollOnce() throws InterruptedException {
 		try {
 			if (this.connection.isEmpty()) {
-				this.connection = Optional.of(InnerConnection.open(this.controls.get(this.next), TIMEOUT));
+				this.connection = Optional.of(InnerConnection.open(this.controls.get(this.controlIndex), CALL_TIMEOUT));
 			}
-			boolean latest = !this.latestKnown;
-			PollReply reply = this.connection.get().control().poll(this.options.key().text(), request(latest));
+			boolean latestRequested = !this.latestConfirmed;
+			PollReply reply = this.connection.get().control().poll(this.options.key().text(), request(latestRequested));
 			if (reply.getResult().getCode() != ResultCode.OK.number()) {
 				return false;
 			}
-			boolean current = this.follower.take(reply);
-			learn(reply.getControls());
-			noteLatest(latest && current && reply.getNumber() > 0);
-			if (!this.latestKnown) {
-				this.closed.await(PAUSE_MILLIS, TimeUnit.MILLISECONDS);
+			boolean current = this.follower.apply(reply);
+			updateControls(reply.getControls());
+			confirmLatest(latestRequested && current && reply.getNumber() > 0);
+			if (!this.latestConfirmed) {
+				this.closed.await(RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
 			}
 			return true;
 		}
@@ -156,29 +156,29 @@
 
 	// The settings may name control VMs that are gone; the members of the log are known
 	// to every control VM.
-	private void learn(List<String> members) {
+	private void updateControls(List<String> members) {
 		if (members == null || members.isEmpty()) {
 			return;
 		}
-		Set<String> all = new LinkedHashSet<>(this.seeds.get());
-		all.addAll(members);
-		if (!Set.copyOf(this.controls).equals(all)) {
-			String used = this.controls.get(this.next);
-			this.controls = List.copyOf(all);
-			this.next = Math.max(0, this.controls.indexOf(used));
+		Set<String> merged = new LinkedHashSet<>(this.seeds.get());
+		merged.addAll(members);
+		if (!Set.copyOf(this.controls).equals(merged)) {
+			String currentAddress = this.controls.get(this.controlIndex);
+			this.controls = List.copyOf(merged);
+			this.controlIndex = Math.max(0, this.controls.indexOf(currentAddress));
 		}
 	}
 
-	private PollRequest request(boolean latest) {
-		return new PollRequest(this.options.vm(), this.run, this.options.dataCentre(), this.follower.number(),
-				this.follower.digest(), this.follower.crashRevision(), WAIT_MILLIS, this.reports.get(), latest,
-				this.leaving, this.follower.fleetRevision(), this.options.loadAddress())
+	private PollRequest request(boolean latestRequested) {
+		return new PollRequest(this.options.vm(), this.runId, this.options.dataCentre(), this.follower.number(),
+				this.follower.digest(), this.follower.crashRevision(), POLL_WAIT_MILLIS, this.reports.get(),
+				latestRequested, this.leaving, this.follower.fleetRevision(), this.options.loadAddress())
 			.setPeersRevision(this.follower.peersRevision());
 	}
 
-	private void noteLatest(boolean known) {
-		if (known && !this.latestKnown) {
-			this.latestKnown = true;
+	private void confirmLatest(boolean confirmed) {
+		if (confirmed && !this.latestConfirmed) {
+			this.latestConfirmed = true;
 			this.listener.upToDate();
 		}
 	}
--- a/daemon/src/main/java/org/acaciacourse/daemon/link/ControlLink.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/link/ControlLink.java
@@ -51,10 +51,10 @@
 	 * closed.
 	 * @param key the key of the claim
 	 * @param outcome how it ended
-	 * @param answer the whole answer if it is to be kept, else empty
+	 * @param response the whole answer if it is to be kept, else empty
 	 * @return ends once it is committed, with the code
 	 */
-	CompletionStage<ResultCode> complete(ClaimKey key, ClaimOutcome outcome, byte[] answer);
+	CompletionStage<ResultCode> complete(ClaimKey key, ClaimOutcome outcome, byte[] response);
 
 	/**
 	 * Report proven crashes of a content, so that it is refused on all VMs.
--- a/daemon/src/main/java/org/acaciacourse/daemon/link/LeaderCalls.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/link/LeaderCallExecutor.java
@@ -14,18 +14,18 @@
  * <p>
  * Thread safe.
  */
-final class LeaderCalls implements AutoCloseable {
+final class LeaderCallExecutor implements AutoCloseable {
 
-	private static final Logger LOGGER = LogManager.getLogger(LeaderCalls.class);
+	private static final Logger LOGGER = LogManager.getLogger(LeaderCallExecutor.class);
 
-	private static final int RING = 4096;
+	private static final int QUEUE_CAPACITY = 4096;
 
-	private final BlockingQueue<Task> ring = new ArrayBlockingQueue<>(RING);
+	private final BlockingQueue<Task> queue = new ArrayBlockingQueue<>(QUEUE_CAPACITY);
 
 	private final List<Thread> threads;
 
-	LeaderCalls(String name, List<String> addresses, int count) {
-		this.threads = IntStream.range(0, count).mapToObj((i) -> {
+	LeaderCallExecutor(String name, List<String> addresses, int threadCount) {
+		this.threads = IntStream.range(0, threadCount).mapToObj((i) -> {
 			Thread thread = new Thread(() -> run(addresses), name + "-" + i);
 			thread.setDaemon(true);
 			thread.start();
@@ -39,13 +39,13 @@
 	 * @return whether there was room for it
 	 */
 	boolean submit(Task task) {
-		return this.ring.offer(task);
+		return this.queue.offer(task);
 	}
 
 	private void run(List<String> addresses) {
-		try (LeaderCaller caller = new LeaderCaller(addresses)) {
+		try (LeaderCaller client = new LeaderCaller(addresses)) {
 			while (!Thread.currentThread().isInterrupted()) {
-				runOne(this.ring.take(), caller);
+				runOne(this.queue.take(), client);
 			}
 		}
 		catch (InterruptedException ex) {
@@ -53,9 +53,9 @@
 		}
 	}
 
-	private static void runOne(Task task, LeaderCaller caller) throws InterruptedException {
+	private static void runOne(Task task, LeaderCaller client) throws InterruptedException {
 		try {
-			task.run(caller);
+			task.run(client);
 		}
 		catch (RuntimeException ex) {
 			LOGGER.error("a call to control failed unexpectedly", ex);
@@ -71,7 +71,7 @@
 	@FunctionalInterface
 	interface Task {
 
-		void run(LeaderCaller caller) throws InterruptedException;
+		void run(LeaderCaller client) throws InterruptedException;
 
 	}
 
--- a/daemon/src/main/java/org/acaciacourse/daemon/link/LeaderCaller.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/link/LeaderCaller.java
@@ -20,13 +20,13 @@
  */
 public final class LeaderCaller implements AutoCloseable {
 
-	private static final Duration TIMEOUT = Duration.ofSeconds(2);
+	private static final Duration CALL_TIMEOUT = Duration.ofSeconds(2);
 
-	private static final long PAUSE_MILLIS = 100;
+	private static final long RETRY_DELAY_MILLIS = 100;
 
 	private final List<String> addresses;
 
-	private int next;
+	private int nextIndex;
 
 	private String address;
 
@@ -46,26 +46,26 @@
 	 * @param <T> the type of the answer
 	 * @param call the call
 	 * @param resultOf finds the result in an answer
-	 * @param limit the time for all attempts
+	 * @param timeout the time for all attempts
 	 * @return the answer, the last refusal if there was no other, or nothing
 	 * @throws InterruptedException if the thread is interrupted
 	 */
-	public <T> Optional<T> call(Call<T> call, Function<T, Result> resultOf, Duration limit)
+	public <T> Optional<T> call(Call<T> call, Function<T, Result> resultOf, Duration timeout)
 			throws InterruptedException {
-		long deadline = System.nanoTime() + limit.toNanos();
-		Optional<T> last = Optional.empty();
+		long deadline = System.nanoTime() + timeout.toNanos();
+		Optional<T> lastResponse = Optional.empty();
 		do {
-			Optional<T> answer = attempt(call);
-			if (answer.isPresent()) {
-				last = answer;
-				if (isFinal(resultOf.apply(answer.get()))) {
-					return answer;
+			Optional<T> response = attempt(call);
+			if (response.isPresent()) {
+				lastResponse = response;
+				if (isFinal(resultOf.apply(response.get()))) {
+					return response;
 				}
 			}
-			move(answer.map(resultOf));
+			switchAddress(response.map(resultOf));
 		}
 		while (System.nanoTime() < deadline);
-		return last;
+		return lastResponse;
 	}
 
 	private static boolean isFinal(Result result) {
@@ -76,9 +76,9 @@
 	private <T> Optional<T> attempt(Call<T> call) {
 		try {
 			if (this.connection.isEmpty()) {
-				this.connection = Optional.of(InnerConnection.open(this.address, TIMEOUT));
+				this.connection = Optional.of(InnerConnection.open(this.address, CALL_TIMEOUT));
 			}
-			return Optional.of(call.on(this.connection.get().control()));
+			return Optional.of(call.execute(this.connection.get().control()));
 		}
 		catch (TException | RuntimeException ex) {
 			close();
@@ -86,16 +86,16 @@
 		}
 	}
 
-	private void move(Optional<Result> refusal) throws InterruptedException {
+	private void switchAddress(Optional<Result> refusal) throws InterruptedException {
 		Optional<String> leader = refusal.filter(Result::isSetLeaderAddress).map(Result::getLeaderAddress);
 		close();
 		if (leader.isPresent() && !leader.get().equals(this.address)) {
 			this.address = leader.get();
 			return;
 		}
-		this.next = (this.next + 1) % this.addresses.size();
-		this.address = this.addresses.get(this.next);
-		Thread.sleep(PAUSE_MILLIS);
+		this.nextIndex = (this.nextIndex + 1) % this.addresses.size();
+		this.address = this.addresses.get(this.nextIndex);
+		Thread.sleep(RETRY_DELAY_MILLIS);
 	}
 
 	@Override
@@ -118,7 +118,7 @@
 		 * @return the answer
 		 * @throws TException if there is none
 		 */
-		T on(ControlService.Iface client) throws TException;
+		T execute(ControlService.Iface client) throws TException;
 
 	}
 
--- a/daemon/src/main/java/org/acaciacourse/daemon/link/ThriftControlLink.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/link/ThriftControlLink.java
@@ -35,9 +35,9 @@
  */
 public final class ThriftControlLink implements ControlLink {
 
-	private static final Duration CLAIM_LIMIT = Duration.ofSeconds(4);
+	private static final Duration CLAIM_TIMEOUT = Duration.ofSeconds(4);
 
-	private static final Duration COMPLETE_ROUND = Duration.ofSeconds(4);
+	private static final Duration COMPLETION_CALL_TIMEOUT = Duration.ofSeconds(4);
 
 	private static final int CLAIM_THREADS = 4;
 
@@ -45,15 +45,15 @@
 
 	private final LinkOptions options;
 
-	private final String run;
+	private final String runId;
 
 	private final AtomicLong claimNumber = new AtomicLong();
 
 	private final Map<ClaimKey, String> owners = new ConcurrentHashMap<>();
 
-	private final LeaderCalls claims;
+	private final LeaderCallExecutor claimExecutor;
 
-	private final LeaderCalls completions;
+	private final LeaderCallExecutor completionExecutor;
 
 	private Optional<ConfigurationPoller> poller = Optional.empty();
 
@@ -63,22 +63,22 @@
 	 */
 	public ThriftControlLink(LinkOptions options) {
 		this.options = options;
-		this.run = options.vm() + "/" + nameOfThisStart();
-		this.claims = new LeaderCalls("control-claim", options.controls(), CLAIM_THREADS);
-		this.completions = new LeaderCalls("control-complete", options.controls(), COMPLETE_THREADS);
+		this.runId = options.vm() + "/" + newRunId();
+		this.claimExecutor = new LeaderCallExecutor("control-claim", options.controls(), CLAIM_THREADS);
+		this.completionExecutor = new LeaderCallExecutor("control-complete", options.controls(), COMPLETE_THREADS);
 	}
 
 	// Two starts of a VM differ in the moment by one of both clocks. Nothing depends on a
 	// name that can't be guessed, and the first random number of a process that can't be
 	// takes 25 ms of a start.
-	private static String nameOfThisStart() {
+	private static String newRunId() {
 		HexFormat hex = HexFormat.of();
 		return hex.toHexDigits(System.currentTimeMillis()) + hex.toHexDigits(System.nanoTime());
 	}
 
 	@Override
 	public synchronized void start(Listener listener, Supplier<List<ClassReport>> reports) {
-		this.poller = Optional.of(new ConfigurationPoller(this.options, this.run, listener, reports));
+		this.poller = Optional.of(new ConfigurationPoller(this.options, this.runId, listener, reports));
 		this.poller.get().start();
 	}
 
@@ -89,32 +89,32 @@
 
 	@Override
 	public CompletionStage<ClaimResult> claim(ClaimKey key, String contentHash, String traceparent) {
-		String owner = this.run + "#" + this.claimNumber.incrementAndGet();
+		String owner = this.runId + "#" + this.claimNumber.incrementAndGet();
 		ClaimCommand command = new ClaimCommand(key.customer(), key.idempotencyKey(), contentHash, owner);
 		TraceContext trace = new TraceContext(traceparent);
 		CompletableFuture<ClaimResult> result = new CompletableFuture<>();
-		result.completeOnTimeout(unavailable(), CLAIM_LIMIT.toMillis() + 500, TimeUnit.MILLISECONDS);
-		boolean taken = this.claims.submit((caller) -> {
+		result.completeOnTimeout(unavailable(), CLAIM_TIMEOUT.toMillis() + 500, TimeUnit.MILLISECONDS);
+		boolean accepted = this.claimExecutor.submit((client) -> {
 			if (result.isDone()) {
 				return;
 			}
-			Optional<ClaimReply> reply = caller.call((c) -> c.claim(this.options.key().text(), command, trace),
-					ClaimReply::getResult, CLAIM_LIMIT);
-			finish(key, owner, reply.map(ThriftControlLink::claimResult).orElse(unavailable()), result);
+			Optional<ClaimReply> reply = client.call((c) -> c.claim(this.options.key().text(), command, trace),
+					ClaimReply::getResult, CLAIM_TIMEOUT);
+			deliver(key, owner, reply.map(ThriftControlLink::claimResult).orElse(unavailable()), result);
 		});
-		if (!taken) {
+		if (!accepted) {
 			result.complete(unavailable());
 		}
 		return result;
 	}
 
-	private void finish(ClaimKey key, String owner, ClaimResult claim, CompletableFuture<ClaimResult> result) {
+	private void deliver(ClaimKey key, String owner, ClaimResult claim, CompletableFuture<ClaimResult> result) {
 		if (claim.granted()) {
 			this.owners.put(key, owner);
 		}
-		boolean told = result.complete(claim);
-		boolean unknown = claim.code() == ResultCode.CLAIM_UNAVAILABLE;
-		if (unknown || (claim.granted() && !told)) {
+		boolean delivered = result.complete(claim);
+		boolean outcomeUnknown = claim.code() == ResultCode.CLAIM_UNAVAILABLE;
+		if (outcomeUnknown || (claim.granted() && !delivered)) {
 			// The claim may be committed, but its request will not be sent: without
 			// this the key would stay in progress and refuse the caller's own repeat.
 			complete(key, owner, ClaimOutcome.NOT_RUN, new byte[0]);
@@ -126,8 +126,8 @@
 		if (code == ResultCode.NO_QUORUM || code == ResultCode.OUTCOME_UNKNOWN) {
 			return unavailable();
 		}
-		Optional<byte[]> answer = (reply.isSetAnswer()) ? Optional.of(reply.getAnswer()) : Optional.empty();
-		return new ClaimResult(reply.isGranted(), code, CommandCodec.outcome(reply.getOutcome()), answer);
+		Optional<byte[]> response = (reply.isSetAnswer()) ? Optional.of(reply.getAnswer()) : Optional.empty();
+		return new ClaimResult(reply.isGranted(), code, CommandCodec.outcome(reply.getOutcome()), response);
 	}
 
 	private static ClaimResult unavailable() {
@@ -135,32 +135,32 @@
 	}
 
 	@Override
-	public CompletionStage<ResultCode> complete(ClaimKey key, ClaimOutcome outcome, byte[] answer) {
+	public CompletionStage<ResultCode> complete(ClaimKey key, ClaimOutcome outcome, byte[] response) {
 		String owner = this.owners.remove(key);
 		if (owner == null) {
 			return CompletableFuture.completedFuture(ResultCode.FENCED);
 		}
-		return complete(key, owner, outcome, answer);
+		return complete(key, owner, outcome, response);
 	}
 
-	private CompletionStage<ResultCode> complete(ClaimKey key, String owner, ClaimOutcome outcome, byte[] answer) {
+	private CompletionStage<ResultCode> complete(ClaimKey key, String owner, ClaimOutcome outcome, byte[] response) {
 		CompleteClaimCommand command = new CompleteClaimCommand();
 		command.setCustomer(key.customer()).setIdempotencyKey(key.idempotencyKey()).setOwner(owner);
-		command.setOutcome(outcome.ordinal()).setAnswer(answer);
+		command.setOutcome(outcome.ordinal()).setAnswer(response);
 		CompletableFuture<ResultCode> result = new CompletableFuture<>();
 		TraceContext trace = new TraceContext("");
-		boolean taken = this.completions.submit((caller) -> {
+		boolean accepted = this.completionExecutor.submit((client) -> {
 			ResultCode code = ResultCode.NO_QUORUM;
 			while (code == ResultCode.NO_QUORUM || code == ResultCode.OUTCOME_UNKNOWN) {
-				code = caller
+				code = client
 					.call((c) -> c.completeClaim(this.options.key().text(), command, trace), ClaimReply::getResult,
-							COMPLETE_ROUND)
+							COMPLETION_CALL_TIMEOUT)
 					.flatMap((reply) -> ResultCode.ofNumber(reply.getResult().getCode()))
 					.orElse(ResultCode.NO_QUORUM);
 			}
 			result.complete(code);
 		});
-		if (!taken) {
+		if (!accepted) {
 			result.complete(ResultCode.CLAIM_UNAVAILABLE);
 		}
 		return result;
@@ -169,15 +169,15 @@
 	@Override
 	public void reportCrash(long contentHash, int crashes) {
 		ReportCrashCommand command = new ReportCrashCommand(contentHash, crashes);
-		this.completions.submit((caller) -> caller.call((c) -> c.reportCrash(this.options.key().text(), command),
-				(result) -> result, COMPLETE_ROUND));
+		this.completionExecutor.submit((client) -> client.call((c) -> c.reportCrash(this.options.key().text(), command),
+				(result) -> result, COMPLETION_CALL_TIMEOUT));
 	}
 
 	@Override
 	public synchronized void close() {
 		this.poller.ifPresent(ConfigurationPoller::close);
-		this.claims.close();
-		this.completions.close();
+		this.claimExecutor.close();
+		this.completionExecutor.close();
 	}
 
 }
--- a/daemon/src/test/java/org/acaciacourse/daemon/link/ConfigurationFollowerTests.java
+++ b/daemon/src/test/java/org/acaciacourse/daemon/link/ConfigurationFollowerTests.java
@@ -18,9 +18,9 @@
 
 class ConfigurationFollowerTests {
 
-	private final List<Object> seen = new ArrayList<>();
+	private final List<Object> events = new ArrayList<>();
 
-	private final ConfigurationFollower follower = new ConfigurationFollower(new Notes());
+	private final ConfigurationFollower follower = new ConfigurationFollower(new RecordingListener());
 
 	private static ManifestDocument document(long number) {
 		return ManifestCodec.decode(ControlCluster.manifest(number, "class-" + number));
@@ -36,11 +36,11 @@
 			.setPeers(List.of());
 	}
 
-	private static PollReply whole(long number) {
+	private static PollReply fullReply(long number) {
 		return reply(document(number), number).setSnapshot(ManifestCodec.encode(document(number)));
 	}
 
-	private static PollReply delta(long from, long to) {
+	private static PollReply deltaReply(long from, long to) {
 		return reply(document(to), to).setBaseDigest(document(from).digest())
 			.setDelta(ManifestCodec.encode(document(from).deltaTo(document(to))));
 	}
@@ -52,10 +52,10 @@
 		void neverGoBackwards() {
 			// The entry polls another control VM, one that lags behind or was cut off,
 			// and gets an older configuration. It keeps what it has.
-			assertThat(ConfigurationFollowerTests.this.follower.take(whole(8))).isTrue();
-			assertThat(ConfigurationFollowerTests.this.follower.take(whole(7))).isTrue();
+			assertThat(ConfigurationFollowerTests.this.follower.apply(fullReply(8))).isTrue();
+			assertThat(ConfigurationFollowerTests.this.follower.apply(fullReply(7))).isTrue();
 			assertThat(ConfigurationFollowerTests.this.follower.number()).isEqualTo(8);
-			assertThat(ConfigurationFollowerTests.this.seen).containsExactly(8L);
+			assertThat(ConfigurationFollowerTests.this.events).containsExactly(8L);
 		}
 
 	}
@@ -64,38 +64,38 @@
 	class Gaps {
 
 		@Test
-		void deltaFromAnotherBaseLeadsToTheWhole() {
+		void deltaFromAnotherBaseRequestsTheFullDocument() {
 			// The delta starts from a configuration that the entry does not have. Applied
 			// all the same it would give a mixture that nobody handed in.
 			ConfigurationFollower follower = ConfigurationFollowerTests.this.follower;
-			follower.take(whole(1));
-			assertThat(follower.take(delta(2, 3))).isFalse();
+			follower.apply(fullReply(1));
+			assertThat(follower.apply(deltaReply(2, 3))).isFalse();
 			assertThat(follower.digest()).isEmpty();
 			assertThat(follower.number()).isEqualTo(1);
-			assertThat(follower.take(whole(3))).isTrue();
-			assertThat(follower.take(delta(3, 4))).isTrue();
+			assertThat(follower.apply(fullReply(3))).isTrue();
+			assertThat(follower.apply(deltaReply(3, 4))).isTrue();
 			assertThat(follower.digest()).isEqualTo(document(4).digest());
 		}
 
 		@Test
 		void damagedDocumentIsNotUsed() {
-			PollReply damaged = whole(2);
+			PollReply damaged = fullReply(2);
 			damaged.getSnapshot().put("class added", Map.of("tier", "low"));
-			assertThat(ConfigurationFollowerTests.this.follower.take(damaged)).isFalse();
-			assertThat(ConfigurationFollowerTests.this.seen).isEmpty();
+			assertThat(ConfigurationFollowerTests.this.follower.apply(damaged)).isFalse();
+			assertThat(ConfigurationFollowerTests.this.events).isEmpty();
 		}
 
 		// An entry that starts checks the whole by its checksum, as a digest takes too
 		// long then. Damage has to be found all the same.
 		@Test
-		void wholeIsCheckedByItsChecksumWhereThereIsOne() {
-			PollReply damaged = whole(2).setChecksum(document(2).checksum());
+		void fullDocumentIsCheckedByChecksumIfPresent() {
+			PollReply damaged = fullReply(2).setChecksum(document(2).checksum());
 			damaged.getSnapshot().put("class added", Map.of("tier", "low"));
-			assertThat(ConfigurationFollowerTests.this.follower.take(damaged)).isFalse();
-			assertThat(ConfigurationFollowerTests.this.seen).isEmpty();
-			assertThat(ConfigurationFollowerTests.this.follower.take(whole(2).setChecksum(document(2).checksum())))
+			assertThat(ConfigurationFollowerTests.this.follower.apply(damaged)).isFalse();
+			assertThat(ConfigurationFollowerTests.this.events).isEmpty();
+			assertThat(ConfigurationFollowerTests.this.follower.apply(fullReply(2).setChecksum(document(2).checksum())))
 				.isTrue();
-			assertThat(ConfigurationFollowerTests.this.follower.take(delta(2, 3))).isTrue();
+			assertThat(ConfigurationFollowerTests.this.follower.apply(deltaReply(2, 3))).isTrue();
 			assertThat(ConfigurationFollowerTests.this.follower.digest()).isEqualTo(document(3).digest());
 		}
 
@@ -105,10 +105,10 @@
 	class Crashes {
 
 		@Test
-		void arePassedOnAndTheRevisionKept() {
-			PollReply crash = whole(1).setCrashes(List.of(new ReportCrashCommand(77, 2))).setCrashRevision(5);
-			ConfigurationFollowerTests.this.follower.take(crash);
-			assertThat(ConfigurationFollowerTests.this.seen).containsExactly(1L, "77 2");
+		void areReportedAndTheRevisionIsKept() {
+			PollReply crash = fullReply(1).setCrashes(List.of(new ReportCrashCommand(77, 2))).setCrashRevision(5);
+			ConfigurationFollowerTests.this.follower.apply(crash);
+			assertThat(ConfigurationFollowerTests.this.events).containsExactly(1L, "77 2");
 			assertThat(ConfigurationFollowerTests.this.follower.crashRevision()).isEqualTo(5);
 		}
 
@@ -118,23 +118,24 @@
 	class EntryCount {
 
 		@Test
-		void sameNumberIsConfirmedAndNoneIsNotTold() {
-			ConfigurationFollowerTests.this.follower.take(whole(1).setEntryCount(3));
-			ConfigurationFollowerTests.this.follower.take(whole(1).setEntryCount(3));
-			ConfigurationFollowerTests.this.follower.take(whole(1).setEntryCount(0));
-			ConfigurationFollowerTests.this.follower.take(whole(1).setEntryCount(4));
-			assertThat(ConfigurationFollowerTests.this.seen).containsExactly(1L, "3 entries", "confirmed", "4 entries")
+		void sameCountIsConfirmedAndMissingCountIsIgnored() {
+			ConfigurationFollowerTests.this.follower.apply(fullReply(1).setEntryCount(3));
+			ConfigurationFollowerTests.this.follower.apply(fullReply(1).setEntryCount(3));
+			ConfigurationFollowerTests.this.follower.apply(fullReply(1).setEntryCount(0));
+			ConfigurationFollowerTests.this.follower.apply(fullReply(1).setEntryCount(4));
+			assertThat(ConfigurationFollowerTests.this.events)
+				.containsExactly(1L, "3 entries", "confirmed", "4 entries")
 				.inOrder();
 		}
 
 	}
 
 	/** Notes what a listener gets. */
-	private final class Notes implements ControlLink.Listener {
+	private final class RecordingListener implements ControlLink.Listener {
 
 		@Override
 		public void manifest(Manifest manifest) {
-			ConfigurationFollowerTests.this.seen.add(manifest.number());
+			ConfigurationFollowerTests.this.events.add(manifest.number());
 		}
 
 		@Override
@@ -147,17 +148,17 @@
 
 		@Override
 		public void crash(long contentHash, int crashes) {
-			ConfigurationFollowerTests.this.seen.add(contentHash + " " + crashes);
+			ConfigurationFollowerTests.this.events.add(contentHash + " " + crashes);
 		}
 
 		@Override
 		public void entryCount(int count) {
-			ConfigurationFollowerTests.this.seen.add(count + " entries");
+			ConfigurationFollowerTests.this.events.add(count + " entries");
 		}
 
 		@Override
 		public void entryCountConfirmed() {
-			ConfigurationFollowerTests.this.seen.add("confirmed");
+			ConfigurationFollowerTests.this.events.add("confirmed");
 		}
 
 	}
--- a/daemon/src/test/java/org/acaciacourse/daemon/link/ThriftControlLinkTests.java
+++ b/daemon/src/test/java/org/acaciacourse/daemon/link/ThriftControlLinkTests.java
@@ -29,7 +29,7 @@
 	@TempDir
 	private Path folder;
 
-	private final Seen seen = new Seen();
+	private final RecordingListener listener = new RecordingListener();
 
 	private static ClaimResult claim(ControlLink link, String hash) {
 		return link.claim(KEY, hash, "").toCompletableFuture().join();
@@ -43,23 +43,23 @@
 	class Configuration {
 
 		@Test
-		void followsAndTellsWhenItIsTheLatest() throws Exception {
+		void followsChangesAndReportsWhenUpToDate() throws Exception {
 			try (ControlCluster cluster = new ControlCluster(ThriftControlLinkTests.this.folder, 3).startAll();
 					ControlLink link = new ThriftControlLink(cluster.link("entry-1"))) {
 				cluster.apply(ControlCluster.manifest(1, "urgent"));
-				link.start(ThriftControlLinkTests.this.seen, List::of);
-				Seen seen = ThriftControlLinkTests.this.seen;
-				ControlCluster.await("up to date", () -> seen.upToDate.get() == 1);
+				link.start(ThriftControlLinkTests.this.listener, List::of);
+				RecordingListener listener = ThriftControlLinkTests.this.listener;
+				ControlCluster.await("up to date", () -> listener.upToDate.get() == 1);
 				cluster.apply(ControlCluster.manifest(2, "standard"));
 				cluster.apply(ControlCluster.manifest(5, "overnight"));
-				ControlCluster.await("number 5", () -> seen.last() == 5);
-				assertThat(seen.numbers).isInStrictOrder();
-				assertThat(seen.entries).containsExactly(1);
+				ControlCluster.await("number 5", () -> listener.last() == 5);
+				assertThat(listener.numbers).isInStrictOrder();
+				assertThat(listener.entryCounts).containsExactly(1);
 			}
 		}
 
 		@Test
-		void leavesAControlVmThatIsSilent() throws Exception {
+		void switchesAwayFromASilentControlVm() throws Exception {
 			// The entry's control VM accepts the connection and never answers, as
 			// behind something that has lost track of it. The poll times out, the link
 			// goes to the next VM, and the entry gets the configuration within seconds.
@@ -70,10 +70,10 @@
 				for (List<String> order : List.of(List.of(silent.address(), good.controls().get(0)),
 						List.of(good.controls().get(0), silent.address()))) {
 					LinkOptions options = new LinkOptions(good.vm(), good.dataCentre(), order, good.key());
-					Seen seen = new Seen();
+					RecordingListener listener = new RecordingListener();
 					try (ControlLink link = new ThriftControlLink(options)) {
-						link.start(seen, List::of);
-						ControlCluster.await("up to date", () -> seen.upToDate.get() == 1);
+						link.start(listener, List::of);
+						ControlCluster.await("up to date", () -> listener.upToDate.get() == 1);
 						assertThat(claim(link, "hash").granted()).isTrue();
 						assertThat(complete(link, ClaimOutcome.NOT_RUN)).isEqualTo(ResultCode.OK);
 					}
@@ -141,11 +141,11 @@
 	}
 
 	/** Notes what a listener gets. */
-	private static final class Seen implements ControlLink.Listener {
+	private static final class RecordingListener implements ControlLink.Listener {
 
 		private final List<Long> numbers = new CopyOnWriteArrayList<>();
 
-		private final List<Integer> entries = new CopyOnWriteArrayList<>();
+		private final List<Integer> entryCounts = new CopyOnWriteArrayList<>();
 
 		private final AtomicInteger upToDate = new AtomicInteger();
 
@@ -173,7 +173,7 @@
 
 		@Override
 		public void entryCount(int count) {
-			this.entries.add(count);
+			this.entryCounts.add(count);
 		}
 
 	}
