--- a/daemon/src/main/java/org/acaciacourse/daemon/inner/InnerConnection.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/inner/InnerConnection.java
@@ -26,10 +26,10 @@
 public final class InnerConnection implements AutoCloseable {
 
 	/** Name of the replicas' service on a connection. */
-	static final String REPLICA = "replica";
+	static final String REPLICA_SERVICE = "replica";
 
 	/** Name of the service for entries and operators on a connection. */
-	static final String CONTROL = "control";
+	static final String CONTROL_SERVICE = "control";
 
 	/**
 	 * Several round trips between data centres, which are tens of milliseconds. A host
@@ -37,7 +37,7 @@
 	 * loses packets, TCP itself tries again after a second only, and a caller that waits
 	 * for that neither asks another VM nor reaches this one once it is up.
 	 */
-	private static final int CONNECT_MILLIS = 200;
+	private static final int CONNECT_TIMEOUT_MILLIS = 200;
 
 	private final TTransport transport;
 
@@ -48,8 +48,8 @@
 	private InnerConnection(TTransport transport) {
 		this.transport = transport;
 		TProtocol protocol = ThriftBytes.protocol().getProtocol(transport);
-		this.control = new ControlService.Client(new TMultiplexedProtocol(protocol, CONTROL));
-		this.replica = new ReplicaService.Client(new TMultiplexedProtocol(protocol, REPLICA));
+		this.control = new ControlService.Client(new TMultiplexedProtocol(protocol, CONTROL_SERVICE));
+		this.replica = new ReplicaService.Client(new TMultiplexedProtocol(protocol, REPLICA_SERVICE));
 	}
 
 	/**
@@ -62,7 +62,7 @@
 	public static InnerConnection open(String address, Duration timeout) throws TTransportException {
 		InetSocketAddress parsed = parse(address);
 		TSocket socket = new TSocket(ThriftBytes.bounds(), parsed.getAddress().getHostAddress(), parsed.getPort(),
-				(int) timeout.toMillis(), CONNECT_MILLIS);
+				(int) timeout.toMillis(), CONNECT_TIMEOUT_MILLIS);
 		TTransport transport = new TFramedTransport(socket, ThriftBytes.MAX_BYTES);
 		transport.open();
 		return new InnerConnection(transport);
--- a/daemon/src/main/java/org/acaciacourse/daemon/inner/InnerServer.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/inner/InnerServer.java
@@ -21,8 +21,8 @@
 /**
  * The server of the inner protocol on a control VM: a thread for each connection, at most
  * {@value #MAX_CONNECTIONS}, which is what 380 entries that poll need three times over. A
- * connection that stays silent is closed after {@value #IDLE_MILLIS} ms, so that dead
- * peers do not hold threads.
+ * connection that stays silent is closed after {@value #IDLE_TIMEOUT_MILLIS} ms, so that
+ * dead peers do not hold threads.
  * <p>
  * Thread safe.
  */
@@ -30,7 +30,7 @@
 
 	private static final int MAX_CONNECTIONS = 1200;
 
-	private static final int IDLE_MILLIS = 60_000;
+	private static final int IDLE_TIMEOUT_MILLIS = 60_000;
 
 	private static final long STACK_BYTES = 256 * 1024;
 
@@ -51,8 +51,8 @@
 			throws TTransportException {
 		this.socket = new TrackingServerSocket(listener);
 		TMultiplexedProcessor processor = new TMultiplexedProcessor();
-		processor.registerProcessor(InnerConnection.REPLICA, new ReplicaService.Processor<>(replica));
-		processor.registerProcessor(InnerConnection.CONTROL, new ControlService.Processor<>(control));
+		processor.registerProcessor(InnerConnection.REPLICA_SERVICE, new ReplicaService.Processor<>(replica));
+		processor.registerProcessor(InnerConnection.CONTROL_SERVICE, new ControlService.Processor<>(control));
 		String name = "inner-" + listener.getLocalPort();
 		TThreadPoolServer.Args args = new TThreadPoolServer.Args(this.socket).processor(processor)
 			.protocolFactory(ThriftBytes.protocol())
@@ -89,23 +89,23 @@
 	/** Remembers its connections: a stopped server's threads would go on serving them. */
 	private static final class TrackingServerSocket extends TServerSocket {
 
-		private final Set<TSocket> open = ConcurrentHashMap.newKeySet();
+		private final Set<TSocket> openSockets = ConcurrentHashMap.newKeySet();
 
 		private TrackingServerSocket(ServerSocket listener) throws TTransportException {
-			super(new ServerSocketTransportArgs().serverSocket(listener).clientTimeout(IDLE_MILLIS));
+			super(new ServerSocketTransportArgs().serverSocket(listener).clientTimeout(IDLE_TIMEOUT_MILLIS));
 		}
 
 		@Override
 		public TSocket accept() throws TTransportException {
 			TSocket accepted = super.accept();
-			this.open.removeIf((socket) -> !socket.isOpen());
-			this.open.add(accepted);
+			this.openSockets.removeIf((socket) -> !socket.isOpen());
+			this.openSockets.add(accepted);
 			return accepted;
 		}
 
 		private void closeAll() {
 			close();
-			this.open.forEach(TSocket::close);
+			this.openSockets.forEach(TSocket::close);
 		}
 
 	}
