--- a/daemon/src/main/java/org/acaciacourse/daemon/store/Disk.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/store/Disk.java
@@ -6,10 +6,10 @@
 import java.util.List;
 
 /**
- * The few file operations that the store needs, all within one folder. Tests put a disk
- * in its place that fails or forgets what was not synced.
+ * The file operations that the store needs, all within one folder. Tests replace it by a
+ * disk that fails on request or loses data that was not synced.
  * <p>
- * Not thread safe: the replica's thread calls it.
+ * Not thread safe: used by the replica's thread only.
  */
 interface Disk extends Closeable {
 
@@ -29,7 +29,7 @@
 	byte[] read(String name) throws IOException;
 
 	/**
-	 * Open a file at its end, and make it if there is none.
+	 * Open a file for appending, creating it if it does not exist.
 	 * @param name the name of the file
 	 * @return the open file
 	 * @throws IOException if it can't be opened
@@ -37,16 +37,16 @@
 	AppendFile append(String name) throws IOException;
 
 	/**
-	 * Cut a file and sync it.
+	 * Truncate a file and sync it.
 	 * @param name the name of the file
-	 * @param size the bytes that stay
-	 * @throws IOException if it can't be cut or synced
+	 * @param size the new size in bytes
+	 * @throws IOException if it can't be truncated or synced
 	 */
 	void truncate(String name, long size) throws IOException;
 
 	/**
-	 * Rename a file in one step, over one of the new name if there is one.
-	 * @param from the present name
+	 * Rename a file atomically, replacing a file of the new name if there is one.
+	 * @param from the current name
 	 * @param to the new name
 	 * @throws IOException if it can't be renamed
 	 */
@@ -60,26 +60,26 @@
 	void delete(String name) throws IOException;
 
 	/**
-	 * Sync the folder, so that new, renamed and deleted names are durable.
+	 * Sync the folder, so that created, renamed and deleted files are durable.
 	 * @throws IOException if the sync failed
 	 */
 	void syncFolder() throws IOException;
 
 	/**
-	 * A file open at its end.
+	 * A file that is open for appending.
 	 */
 	interface AppendFile extends Closeable {
 
 		/**
-		 * Write all of a buffer.
+		 * Write the whole buffer.
 		 * @param content the buffer
 		 * @throws IOException if the disk is full or fails
 		 */
 		void write(ByteBuffer content) throws IOException;
 
 		/**
-		 * Sync what was written.
-		 * @throws IOException if the sync failed; what was written may be lost
+		 * Sync the data written so far.
+		 * @throws IOException if the sync failed; the data may be lost
 		 */
 		void sync() throws IOException;
 
--- a/daemon/src/main/java/org/acaciacourse/daemon/store/FolderDisk.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/store/FolderDisk.java
@@ -15,10 +15,11 @@
 import org.acaciacourse.core.code.ResultCode;
 
 /**
- * A real folder, locked against a second process as long as it is open: two writers would
- * interleave their records and each would vote for the other.
+ * A folder of the file system, locked against other processes while it is open. Two
+ * processes on one folder would interleave their records, and both would vote under the
+ * same identity.
  * <p>
- * Not thread safe: the replica's thread calls it.
+ * Not thread safe: used by the replica's thread only.
  */
 final class FolderDisk implements Disk {
 
@@ -34,7 +35,7 @@
 	}
 
 	/**
-	 * Open a folder, and make it if there is none.
+	 * Open and lock a folder, creating it if it does not exist.
 	 * @param folder the folder
 	 * @return the locked folder
 	 */
--- a/daemon/src/main/java/org/acaciacourse/daemon/store/LogReplay.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/store/LogReplay.java
@@ -15,11 +15,11 @@
 import org.acaciacourse.protocol.generated.StoreRecord;
 
 /**
- * Rebuilds hard state and log from the records of the segments in their order. Whatever
- * does not follow from what came before is damage, never skipped: a missing segment would
- * otherwise show as a log that silently lacks committed entries.
+ * Rebuilds hard state and log from the records of the segments, read in order. A record
+ * that does not continue the preceding ones is reported as damage and never skipped: a
+ * missing segment would otherwise go unnoticed, and the log would lack committed entries.
  * <p>
- * Not thread safe: made for one start and used once.
+ * Not thread safe: created for one start and used once.
  */
 final class LogReplay {
 
@@ -44,7 +44,7 @@
 	}
 
 	/**
-	 * Take a record.
+	 * Apply a record.
 	 * @param file the name of the segment
 	 * @param record the next record
 	 */
@@ -97,8 +97,8 @@
 		}
 	}
 
-	// An entry may void some of a segment that is deleted by now, which is only done if a
-	// snapshot covers all of that segment; finish checks that one does.
+	// An entry may replace entries of a segment that has since been deleted. A segment is
+	// deleted only if a snapshot covers all of it; finish checks that there is one.
 	private void restartBefore(LogEntry entry) {
 		this.entries.clear();
 		this.previousIndex = entry.index() - 1;
@@ -114,11 +114,12 @@
 	}
 
 	/**
-	 * Join log and snapshot. Entries after the snapshot count only if the log holds the
-	 * snapshot's last entry: a crash between the installation of a snapshot and the start
-	 * of the next segment leaves an older log that need not agree with the snapshot.
+	 * Combine log and snapshot. Entries after the snapshot are used only if the log holds
+	 * the snapshot's last entry: a crash between the installation of a snapshot and the
+	 * start of the next segment leaves an older log that need not agree with the
+	 * snapshot.
 	 * @param snapshot the latest snapshot, if there is one
-	 * @return what the folder held
+	 * @return the recovered state
 	 */
 	Recovered finish(Optional<Snapshot> snapshot) {
 		long index = snapshot.map(Snapshot::index).orElse(0L);
--- a/daemon/src/main/java/org/acaciacourse/daemon/store/RecordFormat.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/store/RecordFormat.java
@@ -11,12 +11,12 @@
 import org.acaciacourse.protocol.generated.StoreRecord;
 
 /**
- * Records as they lie in files: a mark, the length, a CRC-32C over length and body, then
- * the body. One record is written for each sync, so a crash can damage no record but the
- * last one of a file. A bad record with a good one after it was synced before, and its
- * loss would be the loss of committed data.
+ * The record format of the files: a magic number, the length of the body, a CRC-32C over
+ * length and body, then the body. One record is written per sync, so a crash can damage
+ * only the last record of a file. An invalid record that is followed by a valid one had
+ * already been synced; dropping it would lose committed data.
  * <p>
- * Thread safe: it has no state.
+ * Thread safe: stateless.
  */
 final class RecordFormat {
 
@@ -42,7 +42,7 @@
 	/**
 	 * Read the records of a file.
 	 * @param content the content of the file
-	 * @return the records up to the first bad one
+	 * @return the records up to the first invalid one
 	 */
 	static Scan scan(byte[] content) {
 		List<StoreRecord> records = new ArrayList<>();
@@ -98,13 +98,13 @@
 	}
 
 	/**
-	 * What a file holds.
+	 * The records of a file.
 	 *
-	 * @param records the good records from the start
-	 * @param validEnd where they end
-	 * @param hasInvalidRecord whether something else follows
-	 * @param validRecordFollows whether a good record follows after that, so that it is
-	 * no torn tail
+	 * @param records the valid records from the start of the file
+	 * @param validEnd the offset at which they end
+	 * @param hasInvalidRecord whether an invalid record follows them
+	 * @param validRecordFollows whether a valid record follows the invalid one, which is
+	 * then damage and not a torn write
 	 */
 	record Scan(List<StoreRecord> records, int validEnd, boolean hasInvalidRecord, boolean validRecordFollows) {
 	}
--- a/daemon/src/main/java/org/acaciacourse/daemon/store/Recovered.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/store/Recovered.java
@@ -23,7 +23,7 @@
 	}
 
 	/**
-	 * Return whether nothing was ever agreed or voted here.
+	 * Return whether the folder holds no log entry, snapshot or vote.
 	 * @return whether the folder is fresh
 	 */
 	public boolean isFresh() {
--- a/daemon/src/main/java/org/acaciacourse/daemon/store/ReplicaStore.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/store/ReplicaStore.java
@@ -26,19 +26,19 @@
 import org.acaciacourse.protocol.generated.StoreRecord;
 
 /**
- * The durable state of one replica in one data folder. A write-ahead log in segments
- * (Mohan et al., ARIES, 1992, for the idea of redo records) with one record a sync, and
- * snapshots written aside, synced and renamed.
+ * The durable state of one replica in one data folder. It consists of a segmented
+ * write-ahead log with one record per sync (redo records as in Mohan et al., ARIES, 1992)
+ * and of snapshots that are written to a temporary file, synced and renamed.
  * <p>
- * Invariants: what {@link #sync} returned for survives a crash at any point; a segment is
- * deleted, oldest first, only after a durable snapshot covers all its entries; the first
- * failure of the disk is final, every later call fails with the same code.
+ * Invariants: data for which {@link #sync} has returned survives a crash at any point; a
+ * segment is deleted, oldest first, only after a durable snapshot covers all its entries;
+ * the first disk failure is final, and every later call fails with the same code.
  * <p>
- * Not thread safe: the replica's thread calls it.
+ * Not thread safe: used by the replica's thread only.
  */
 public final class ReplicaStore implements Closeable {
 
-	/** Size from which on a segment is closed. */
+	/** Size at which a segment is closed, in bytes. */
 	static final long SEGMENT_BYTES = 8 << 20;
 
 	private static final String IDENTITY_FILE = "identity";
@@ -84,7 +84,7 @@
 	}
 
 	/**
-	 * Open a data folder, and make it if there is none.
+	 * Open a data folder, creating it if it does not exist.
 	 * @param folder the folder
 	 * @return the store
 	 */
@@ -95,7 +95,7 @@
 	/**
 	 * Open a store.
 	 * @param disk the disk
-	 * @param segmentBytes the size from which on a segment is closed
+	 * @param segmentBytes the size at which a segment is closed, in bytes
 	 * @return the store
 	 */
 	static ReplicaStore open(Disk disk, long segmentBytes) {
@@ -182,7 +182,7 @@
 	}
 
 	/**
-	 * Return the identity that lies in the folder.
+	 * Return the replica's identity as stored in the folder.
 	 * @return the identity
 	 */
 	public ReplicaId identity() {
@@ -198,7 +198,7 @@
 	}
 
 	/**
-	 * Take a hard state for the next sync.
+	 * Stage a hard state to be written by the next sync.
 	 * @param state the state
 	 */
 	public void put(HardState state) {
@@ -207,8 +207,8 @@
 	}
 
 	/**
-	 * Take entries for the next sync; what the log holds from the first one's index on is
-	 * void.
+	 * Stage entries to be written by the next sync. They replace all entries of the log
+	 * from the first one's index on.
 	 * @param entries the entries, without gaps
 	 */
 	public void put(List<LogEntry> entries) {
@@ -220,7 +220,7 @@
 	}
 
 	/**
-	 * Return whether something waits for a sync.
+	 * Return whether staged data waits for a sync.
 	 * @return whether {@link #sync} has work
 	 */
 	public boolean isDirty() {
@@ -228,7 +228,7 @@
 	}
 
 	/**
-	 * Make all that was put durable.
+	 * Make all staged data durable.
 	 */
 	public void sync() {
 		runFailStop(this::writeBatch);
@@ -258,7 +258,7 @@
 	}
 
 	/**
-	 * Make a snapshot of the own state durable and delete what it covers.
+	 * Make a snapshot of this replica's state durable and delete the segments it covers.
 	 * @param snapshot the snapshot
 	 */
 	public void save(Snapshot snapshot) {
@@ -269,8 +269,8 @@
 	}
 
 	/**
-	 * Make a snapshot of another replica durable in place of the whole log, also of what
-	 * was put and not synced.
+	 * Make a snapshot of another replica durable. It replaces the whole log, including
+	 * staged entries that are not yet synced.
 	 * @param snapshot the snapshot
 	 */
 	public void install(Snapshot snapshot) {
@@ -286,7 +286,7 @@
 
 	/**
 	 * Make the first entry of a new log durable in a fresh folder.
-	 * @param state the hard state with it
+	 * @param state the hard state to write with it
 	 * @param first the entry
 	 */
 	public void found(HardState state, LogEntry first) {
@@ -300,7 +300,7 @@
 	}
 
 	/**
-	 * Let go of what the folder held when it was opened, once the replica has it.
+	 * Release the state read at opening, once the replica has taken it over.
 	 */
 	public void forgetRecovered() {
 		this.recovered = new Recovered(this.hardState, Optional.empty(), List.of());
@@ -388,7 +388,7 @@
 		}
 	}
 
-	/** An action on the disk. */
+	/** An action on the disk that may fail. */
 	@FunctionalInterface
 	private interface DiskAction {
 
--- a/daemon/src/main/java/org/acaciacourse/daemon/store/StoreException.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/store/StoreException.java
@@ -3,9 +3,10 @@
 import org.acaciacourse.core.code.ResultCode;
 
 /**
- * The data folder cannot be used, or not any longer. The replica stops with the code:
- * after a failed sync the kernel may have dropped the pages and report the next sync as
- * good, so that going on would answer for data that is not on disk.
+ * The data folder cannot be used, or can no longer be used. The replica stops with the
+ * code: after a failed sync the kernel may have dropped the dirty pages and report the
+ * next sync as successful, so that the replica would acknowledge data that is not on
+ * disk.
  * <p>
  * Immutable and thread safe.
  */
@@ -16,10 +17,10 @@
 	private final ResultCode code;
 
 	/**
-	 * Make an exception.
-	 * @param code what the process ends with
-	 * @param detail what was wrong, with the name of the file
-	 * @param cause the failure underneath, or {@code null}
+	 * Create an exception.
+	 * @param code the code that the process exits with
+	 * @param detail what is wrong, with the name of the file
+	 * @param cause the underlying failure, or {@code null}
 	 */
 	public StoreException(ResultCode code, String detail, Throwable cause) {
 		super(code.number() + " " + code.text() + ": " + detail, cause);
@@ -28,7 +29,7 @@
 
 	/**
 	 * Return the code.
-	 * @return what the process ends with
+	 * @return the code that the process exits with
 	 */
 	public ResultCode code() {
 		return this.code;
--- a/daemon/src/test/java/org/acaciacourse/daemon/store/MemoryDisk.java
+++ b/daemon/src/test/java/org/acaciacourse/daemon/store/MemoryDisk.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 
 /**
- * A disk in memory that forgets on a crash what was not synced, and fails when told to.
+ * An in-memory disk that loses unsynced data in a simulated crash and fails on request.
  */
 public final class MemoryDisk implements Disk {
 
@@ -23,7 +23,7 @@
 
 	private volatile int syncs;
 
-	/** Let the operation after so many more fail, and all that follow. */
+	/** Fail all operations after the given number of further ones. */
 	public void failAfter(int count) {
 		this.operationsUntilFailure = this.operations + count;
 	}
@@ -41,7 +41,7 @@
 		return this.operations;
 	}
 
-	/** Lose power: only what was synced is left, and the disk works again. */
+	/** Return a working disk that holds only the data that was synced. */
 	MemoryDisk crash() {
 		MemoryDisk after = new MemoryDisk();
 		this.durableFiles.forEach((name, content) -> {
@@ -137,7 +137,7 @@
 	public void close() {
 	}
 
-	/** A file's content, with and without what was not synced. */
+	/** A file's content as written and as last synced. */
 	private static final class Content {
 
 		private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
--- a/daemon/src/test/java/org/acaciacourse/daemon/store/ReplicaStoreTests.java
+++ b/daemon/src/test/java/org/acaciacourse/daemon/store/ReplicaStoreTests.java
@@ -77,10 +77,9 @@
 
 		@Test
 		void lastOfFiveHundredChangesSurvivesATornWrite() throws Exception {
-			// The operator sees change 500 accepted, then the VM loses power in the
-			// middle of the next write: the newest file ends in half a record. After
-			// the restart the 500th change has to be there, because it was synced
-			// before the answer.
+			// The VM loses power during the write after change 500 was accepted, so the
+			// newest segment ends in a partial record. Change 500 must be recovered,
+			// because it was synced before it was acknowledged.
 			ReplicaId identity;
 			try (ReplicaStore store = ReplicaStore.open(this.folder)) {
 				identity = store.identity();
@@ -130,9 +129,9 @@
 
 		@Test
 		void atEveryOperationKeepWhatWasSynced() throws Exception {
-			// The VM loses power at any one of the operations on the disk. Whatever a
-			// sync returned for has to be there afterwards, and nothing else than what
-			// was put, since answers were given on account of it.
+			// The VM loses power at each of the disk operations in turn. All entries for
+			// which sync returned must be recovered, since they were acknowledged, and no
+			// entries but those that were put.
 			for (int crash = 1;; crash++) {
 				MemoryDisk disk = new MemoryDisk();
 				ReplicaStore store = ReplicaStore.open(disk, 300);
@@ -169,9 +168,9 @@
 
 		@Test
 		void atEveryOperationOfAnInstallKeepOldLogOrSnapshot() throws Exception {
-			// A follower that was far behind gets a snapshot and the power goes at any
-			// point of taking it in. It must come back with the old log or the snapshot,
-			// never with entries of the old log behind the snapshot.
+			// A follower that lags far behind receives a snapshot, and power fails at any
+			// point of its installation. It must recover either the old log or the
+			// snapshot, never the snapshot followed by entries of the old log.
 			for (int crash = 1; crash < 40; crash++) {
 				MemoryDisk disk = new MemoryDisk();
 				ReplicaStore store = ReplicaStore.open(disk, 300);
@@ -191,8 +190,9 @@
 
 		@Test
 		void tornTailIsTruncatedAtAnyLength() throws Exception {
-			// The power goes while a record is being written: any part of it may be in
-			// the newest file. What was synced before stays, the rest is cut.
+			// Power fails while a record is being written, so any prefix of it may be in
+			// the newest segment. Records synced before are kept, the partial one is
+			// truncated.
 			MemoryDisk disk = new MemoryDisk();
 			ReplicaStore store = ReplicaStore.open(disk, 1 << 20);
 			append(store, 1, 5, 1);
@@ -216,8 +216,8 @@
 
 		@Test
 		void inTheMiddleStopsTheReplica() throws Exception {
-			// A bit flips in a record that was synced long ago. Cutting there would lose
-			// committed entries without a word, so the replica refuses to start.
+			// A bit flips in a record that was synced earlier. Truncating the log there
+			// would silently lose committed entries, so the replica refuses to start.
 			append(ReplicaStore.open(this.disk, 1 << 20), 1, 50, 1);
 			String name = newest(this.disk, "log-");
 			byte[] bytes = this.disk.read(name);
@@ -265,9 +265,9 @@
 
 		@Test
 		void isNotUsedAfterAFailure() {
-			// A sync fails once, the kernel drops the pages and reports the next sync as
-			// good. A store that tried again would answer for entries that are not on
-			// disk.
+			// After a failed sync the kernel drops the dirty pages and reports the next
+			// sync as successful. A store that retried would acknowledge entries that are
+			// not on disk.
 			MemoryDisk disk = new MemoryDisk();
 			ReplicaStore store = ReplicaStore.open(disk, 1 << 20);
 			disk.failAfter(1);
