--- a/daemon/src/main/java/org/acaciacourse/daemon/store/FolderDisk.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/store/FolderDisk.java
@@ -52,7 +52,7 @@
 			return new FolderDisk(folder, channel);
 		}
 		catch (IOException ex) {
-			throw new StoreException(ResultCode.DISK_FAILED, "cannot open " + folder, ex);
+			throw new StoreException(ResultCode.DISK_FAILED, "cannot open data folder " + folder, ex);
 		}
 	}
 
--- a/daemon/src/main/java/org/acaciacourse/daemon/store/LogReplay.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/store/LogReplay.java
@@ -56,17 +56,17 @@
 			applyBatch(file, record.getBatch());
 		}
 		else {
-			throw damaged(file, "unexpected record");
+			throw damaged(file, "unexpected type of record");
 		}
 	}
 
 	private void applyHeader(String file, SegmentHeader header) {
 		boolean first = this.lastSequence < 0;
 		if (header.getReplica() != this.replicaId) {
-			throw damaged(file, "belongs to another replica");
+			throw damaged(file, "segment belongs to replica " + header.getReplica());
 		}
 		if (!first && header.getSequence() != this.lastSequence + 1) {
-			throw damaged(file, "a segment before it is missing");
+			throw damaged(file, "the preceding segment is missing");
 		}
 		this.lastSequence = header.getSequence();
 		this.hardState = ReplicaCodec.decode(header.getHardState());
@@ -125,7 +125,7 @@
 		long index = snapshot.map(Snapshot::index).orElse(0L);
 		long term = snapshot.map(Snapshot::term).orElse(0L);
 		if (this.requiredSnapshotIndex > index) {
-			throw damaged("snapshot", "the one up to entry " + this.requiredSnapshotIndex + " is missing");
+			throw damaged("snapshot", "missing, the log needs one up to entry " + this.requiredSnapshotIndex);
 		}
 		if (index > lastIndex() || termAt(index) != term) {
 			return new Recovered(this.hardState, snapshot, List.of());
--- a/daemon/src/main/java/org/acaciacourse/daemon/store/RecordFormat.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/store/RecordFormat.java
@@ -51,7 +51,7 @@
 		while (offset < content.length) {
 			OptionalInt end = recordEnd(bytes, offset);
 			Try<StoreRecord> record = end.isPresent() ? decode(bytes, offset, end.getAsInt())
-					: Try.failure(new IllegalStateException("bad record"));
+					: Try.failure(new IllegalStateException("invalid record header"));
 			if (record.isFailure()) {
 				return new Scan(records, offset, true, validRecordAfter(bytes, offset + 1));
 			}
@@ -75,7 +75,7 @@
 		byte[] body = new byte[end - offset - HEADER_BYTES];
 		bytes.get(offset + HEADER_BYTES, body);
 		if (bytes.getInt(offset + 2 * Integer.BYTES) != checksum(body)) {
-			return Try.failure(new IllegalStateException("bad checksum"));
+			return Try.failure(new IllegalStateException("record checksum mismatch"));
 		}
 		return ThriftBytes.decode(body, new StoreRecord());
 	}
--- a/daemon/src/main/java/org/acaciacourse/daemon/store/ReplicaStore.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/store/ReplicaStore.java
@@ -137,7 +137,8 @@
 	private void replaySegment(String name, boolean newest, LogReplay replay) throws IOException {
 		Scan scan = RecordFormat.scan(this.disk.read(name));
 		if (scan.validRecordFollows() || (scan.hasInvalidRecord() && !newest)) {
-			throw new StoreException(ResultCode.LOG_DAMAGED, name + ": bad record at " + scan.validEnd(), null);
+			throw new StoreException(ResultCode.LOG_DAMAGED, name + ": invalid record at offset " + scan.validEnd(),
+					null);
 		}
 		scan.records().forEach((record) -> replay.apply(name, record));
 		if (scan.hasInvalidRecord()) {
@@ -152,14 +153,15 @@
 	private ReplicaId readIdentity() throws IOException {
 		Scan scan = RecordFormat.scan(this.disk.read(IDENTITY_FILE));
 		if (scan.hasInvalidRecord() || scan.records().size() != 1 || !scan.records().get(0).isSetIdentity()) {
-			throw new StoreException(ResultCode.LOG_DAMAGED, IDENTITY_FILE + " cannot be read", null);
+			throw new StoreException(ResultCode.LOG_DAMAGED, IDENTITY_FILE + ": not a valid identity record", null);
 		}
 		return new ReplicaId(scan.records().get(0).getIdentity());
 	}
 
 	private ReplicaId createIdentity(List<String> names) throws IOException {
 		if (names.stream().anyMatch((name) -> name.startsWith(SEGMENT_PREFIX) || name.startsWith(SNAPSHOT_PREFIX))) {
-			throw new StoreException(ResultCode.LOG_DAMAGED, IDENTITY_FILE + " is missing", null);
+			throw new StoreException(ResultCode.LOG_DAMAGED,
+					IDENTITY_FILE + ": missing, although the folder holds a log or snapshot", null);
 		}
 		long value = new SecureRandom().nextLong() & Long.MAX_VALUE;
 		ReplicaId id = new ReplicaId(Math.max(value, 1));
@@ -176,7 +178,7 @@
 		}
 		Scan scan = RecordFormat.scan(this.disk.read(latest.get()));
 		if (scan.hasInvalidRecord() || scan.records().size() != 1 || !scan.records().get(0).isSetSnapshot()) {
-			throw new StoreException(ResultCode.LOG_DAMAGED, latest.get() + " cannot be read", null);
+			throw new StoreException(ResultCode.LOG_DAMAGED, latest.get() + ": not a valid snapshot record", null);
 		}
 		return Optional.of(ReplicaCodec.decode(scan.records().get(0).getSnapshot()));
 	}
@@ -291,7 +293,7 @@
 	 */
 	public void found(HardState state, LogEntry first) {
 		if (!this.recovered.isFresh()) {
-			throw new IllegalStateException("the folder holds a log already");
+			throw new IllegalStateException("the data folder already holds a log");
 		}
 		put(state);
 		put(List.of(first));
@@ -384,7 +386,7 @@
 			this.disk.close();
 		}
 		catch (IOException ex) {
-			throw new StoreException(ResultCode.DISK_FAILED, "cannot close", ex);
+			throw new StoreException(ResultCode.DISK_FAILED, "cannot close the data folder", ex);
 		}
 	}
 
