--- a/daemon/src/main/java/org/acaciacourse/daemon/codec/CommandCodec.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/codec/CommandCodec.java
@@ -22,9 +22,10 @@
 import org.acaciacourse.protocol.generated.ReportCrashCommand;
 
 /**
- * Commands of the replicated state machine as the payload of log entries and back.
+ * Converts commands of the replicated state machine to and from the payload of log
+ * entries.
  * <p>
- * Thread safe: it has no state.
+ * Thread safe: stateless.
  */
 public final class CommandCodec {
 
@@ -70,7 +71,7 @@
 	/**
 	 * Decode a command.
 	 * @param payload the payload of a log entry
-	 * @return the command, or a failure if the payload is none
+	 * @return the command, or a failure if the payload is not a valid command
 	 */
 	public static Try<Command> decode(byte[] payload) {
 		return ThriftBytes.decode(payload, new CommandRecord())
@@ -94,7 +95,7 @@
 	}
 
 	/**
-	 * Decode a call to acquire a lease.
+	 * Decode a request to acquire a lease.
 	 * @param proposedAt the proposer's wall-clock time
 	 * @param struct the struct
 	 * @return the command
@@ -104,7 +105,7 @@
 	}
 
 	/**
-	 * Decode a call to release a lease.
+	 * Decode a request to release a lease.
 	 * @param proposedAt the proposer's wall-clock time
 	 * @param struct the struct
 	 * @return the command
@@ -114,7 +115,7 @@
 	}
 
 	/**
-	 * Decode a call to claim.
+	 * Decode a request to claim.
 	 * @param proposedAt the proposer's wall-clock time
 	 * @param struct the struct
 	 * @return the command
@@ -125,7 +126,7 @@
 	}
 
 	/**
-	 * Decode a call to complete a claim.
+	 * Decode a request to complete a claim.
 	 * @param proposedAt the proposer's wall-clock time
 	 * @param struct the struct
 	 * @return the command
@@ -136,7 +137,7 @@
 	}
 
 	/**
-	 * Decode a report of a crash.
+	 * Decode a crash report.
 	 * @param proposedAt the proposer's wall-clock time
 	 * @param struct the struct
 	 * @return the command
--- a/daemon/src/main/java/org/acaciacourse/daemon/codec/FleetCodec.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/codec/FleetCodec.java
@@ -7,9 +7,9 @@
 import org.acaciacourse.protocol.generated.FleetRecord;
 
 /**
- * Fleets of endpoints as the inner protocol carries them.
+ * Converts fleets of endpoints to and from the structs of the internal protocol.
  * <p>
- * Thread safe: it has no state.
+ * Thread safe: stateless.
  */
 public final class FleetCodec {
 
--- a/daemon/src/main/java/org/acaciacourse/daemon/codec/LoadDigestCodec.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/codec/LoadDigestCodec.java
@@ -13,9 +13,9 @@
 import org.acaciacourse.protocol.generated.PartUseRecord;
 
 /**
- * Digests of load to datagrams and back.
+ * Converts load digests to and from the content of datagrams.
  * <p>
- * Thread safe: it has no state.
+ * Thread safe: stateless.
  */
 public final class LoadDigestCodec {
 
@@ -49,13 +49,13 @@
 	/**
 	 * Decode a digest.
 	 * @param bytes the content of a datagram
-	 * @return the digest, or why it is none
+	 * @return the digest, or a failure if the content is not a valid digest
 	 */
 	public static Try<LoadDigest> decode(byte[] bytes) {
 		return ThriftBytes.decode(bytes, new LoadDigestRecord()).mapTry(LoadDigestCodec::digest);
 	}
 
-	// A VM of an older release tells nothing but its own load in one part.
+	// A VM of an older release sends only its own load, as a single part.
 	private static LoadDigest digest(LoadDigestRecord record) {
 		List<PeerLoads.Load> loads = record.getLoads().stream().map(LoadDigestCodec::load).toList();
 		List<PartUse> uses = (record.isSetUses()) ? record.getUses().stream().map(LoadDigestCodec::use).toList()
--- a/daemon/src/main/java/org/acaciacourse/daemon/codec/LoadPeersCodec.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/codec/LoadPeersCodec.java
@@ -12,11 +12,11 @@
 import org.acaciacourse.protocol.generated.PollRequest;
 
 /**
- * The entries that exchange their loads, in the answers to polls. They are told only
- * where they changed: each entry polls about once a second, and the list grows with the
- * number of entries.
+ * The list of entry VMs that exchange their loads, as part of poll replies. It is sent
+ * only if it changed, since each entry VM polls about once a second and the list grows
+ * with the number of entry VMs.
  * <p>
- * Thread safe: it has no state.
+ * Thread safe: stateless.
  */
 public final class LoadPeersCodec {
 
@@ -26,10 +26,10 @@
 	}
 
 	/**
-	 * Write the peers into an answer.
-	 * @param peers the live entries but for the one that asks, in a fixed order
-	 * @param request what the entry asks
-	 * @param reply the answer
+	 * Write the peers into a reply.
+	 * @param peers the live entry VMs except the one that polls, in a fixed order
+	 * @param request the poll request
+	 * @param reply the reply
 	 */
 	public static void write(List<LoadPeer> peers, PollRequest request, PollReply reply) {
 		long revision = revision(peers);
@@ -50,11 +50,11 @@
 	}
 
 	/**
-	 * Read the peers from an answer. A control VM of an older release tells them each
-	 * time, without revision and data centres.
-	 * @param reply the answer
-	 * @param knownRevision the revision that the poll asked with
-	 * @return the peers, if they may differ from those that are known
+	 * Read the peers from a reply. A control VM of an older release sends them in every
+	 * reply, without revision and data centres.
+	 * @param reply the reply
+	 * @param knownRevision the revision that was sent with the poll
+	 * @return the peers, or empty if they are the known ones
 	 */
 	public static Optional<List<LoadPeer>> read(PollReply reply, long knownRevision) {
 		if (reply.isSetPeersRevision() && reply.getPeersRevision() == knownRevision) {
--- a/daemon/src/main/java/org/acaciacourse/daemon/codec/ManifestCodec.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/codec/ManifestCodec.java
@@ -9,9 +9,9 @@
 import org.acaciacourse.protocol.generated.DeltaRecord;
 
 /**
- * Manifest documents and deltas as Thrift structs and back.
+ * Converts manifest documents and deltas to and from Thrift structs.
  * <p>
- * Thread safe: it has no state.
+ * Thread safe: stateless.
  */
 public final class ManifestCodec {
 
@@ -21,7 +21,7 @@
 	/**
 	 * Encode a document.
 	 * @param document the document
-	 * @return its sections; the inner maps belong to the document
+	 * @return its sections; the nested maps are shared with the document
 	 */
 	public static Map<String, Map<String, String>> encode(ManifestDocument document) {
 		return new TreeMap<>(document.sections());
--- a/daemon/src/main/java/org/acaciacourse/daemon/codec/ReplicaCodec.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/codec/ReplicaCodec.java
@@ -31,9 +31,9 @@
 import org.acaciacourse.protocol.generated.VoteRequestBody;
 
 /**
- * The replicated log's types as Thrift structs and back.
+ * Converts the types of the replicated log to and from Thrift structs.
  * <p>
- * Thread safe: it has no state.
+ * Thread safe: stateless.
  */
 public final class ReplicaCodec {
 
@@ -147,7 +147,7 @@
 	/**
 	 * Encode a message.
 	 * @param message the message
-	 * @param receiver the replica that it is meant for
+	 * @param receiver the replica that it is addressed to
 	 * @return the struct
 	 */
 	public static ReplicaEnvelope encode(ReplicaMessage message, ReplicaId receiver) {
@@ -179,7 +179,7 @@
 	/**
 	 * Decode a message.
 	 * @param envelope the struct
-	 * @return the message, or a failure if it makes no sense
+	 * @return the message, or a failure if the struct is invalid
 	 */
 	public static Try<ReplicaMessage> decode(ReplicaEnvelope envelope) {
 		return Try.of(() -> {
--- a/daemon/src/main/java/org/acaciacourse/daemon/codec/StateCodec.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/codec/StateCodec.java
@@ -18,9 +18,9 @@
 import org.acaciacourse.protocol.generated.StateRecord;
 
 /**
- * The state of the state machine as the content of a snapshot and back.
+ * Converts the state of the state machine to and from the content of a snapshot.
  * <p>
- * Thread safe: it has no state.
+ * Thread safe: stateless.
  */
 public final class StateCodec {
 
@@ -50,7 +50,7 @@
 	/**
 	 * Decode a state.
 	 * @param bytes the bytes
-	 * @return the state, or a failure if the bytes are none
+	 * @return the state, or a failure if the bytes are not a valid encoding
 	 */
 	public static Try<ControlStateSnapshot> decode(byte[] bytes) {
 		return ThriftBytes.decode(bytes, new StateRecord()).mapTry(StateCodec::state);
--- a/daemon/src/main/java/org/acaciacourse/daemon/codec/ThriftBytes.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/codec/ThriftBytes.java
@@ -12,15 +12,15 @@
 import org.apache.thrift.transport.TTransportException;
 
 /**
- * Thrift structs to bytes and back, with bounds on what is read: a length field that was
- * damaged or forged would otherwise make the reader reserve gigabytes and end the
- * process.
+ * Serializes and deserializes Thrift structs, with limits on sizes and nesting when
+ * reading: a corrupt or forged length field could otherwise make the reader allocate
+ * gigabytes and exhaust the heap.
  * <p>
- * Thread safe: it has no state.
+ * Thread safe: stateless.
  */
 public final class ThriftBytes {
 
-	/** Largest message and largest struct on disk. */
+	/** Maximum size of a message and of a struct on disk, in bytes. */
 	public static final int MAX_BYTES = 64 << 20;
 
 	private static final int MAX_ELEMENTS = 1 << 20;
@@ -31,15 +31,15 @@
 	}
 
 	/**
-	 * Return the protocol of the wire and the disk.
-	 * @return a factory of the compact protocol with bounds
+	 * Return the protocol used for RPC and files.
+	 * @return a factory of the compact protocol with size limits
 	 */
 	public static TProtocolFactory protocol() {
 		return new TCompactProtocol.Factory(MAX_BYTES, MAX_ELEMENTS);
 	}
 
 	/**
-	 * Return the bounds of a transport.
+	 * Return the size limits of a transport.
 	 * @return a new configuration
 	 */
 	public static TConfiguration bounds() {
@@ -48,7 +48,7 @@
 
 	/**
 	 * Encode a struct.
-	 * @param struct the struct, with all that is required set
+	 * @param struct the struct, with all required fields set
 	 * @return the bytes
 	 */
 	public static byte[] encode(TBase<?, ?> struct) {
@@ -64,8 +64,8 @@
 	 * Decode a struct.
 	 * @param <T> the type of the struct
 	 * @param bytes the bytes
-	 * @param target an empty struct, which gets the fields
-	 * @return the struct, or a failure if the bytes are none
+	 * @param target an empty struct that receives the fields
+	 * @return the struct, or a failure if the bytes are not a valid encoding
 	 */
 	public static <T extends TBase<?, ?>> Try<T> decode(byte[] bytes, T target) {
 		return Try.of(() -> {
--- a/daemon/src/main/java/org/acaciacourse/daemon/codec/package-info.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/codec/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Encoding of the core's types with Thrift's compact protocol, for the wire and the disk.
+ * Encoding of the core's types in Thrift's compact protocol, for RPC, datagrams and
+ * files.
  */
 package org.acaciacourse.daemon.codec;
--- a/daemon/src/test/java/org/acaciacourse/daemon/codec/CodecTests.java
+++ b/daemon/src/test/java/org/acaciacourse/daemon/codec/CodecTests.java
@@ -82,9 +82,9 @@
 
 		@Test
 		void malformedBytesDecodeToAFailure() {
-			// Something else than a replica talks to the port, or a frame is cut: the
-			// caller gets a failure, whatever the bytes, and no memory is reserved on
-			// their word.
+			// A client that is not a replica connects to the port, or a frame is
+			// truncated. Decoding must end with a failure for any bytes, without
+			// allocating the sizes they announce.
 			Random random = new Random(4);
 			byte[] good = ThriftBytes.encode(ReplicaCodec.encode(new TimeoutNow(ID, 3), ID));
 			for (int size = 0; size < good.length; size++) {
--- a/daemon/src/test/java/org/acaciacourse/daemon/codec/LoadDigestCodecTests.java
+++ b/daemon/src/test/java/org/acaciacourse/daemon/codec/LoadDigestCodecTests.java
@@ -27,7 +27,7 @@
 		assertThat(LoadDigestCodec.decode(LoadDigestCodec.encode(view)).get()).isEqualTo(view);
 	}
 
-	// Entries are replaced one after the other: those of the release before tell less.
+	// Entry VMs are upgraded one by one; those of the previous release send fewer fields.
 	@Test
 	void digestOfThePreviousReleaseHoldsOnlyTheSendersLoad() {
 		byte[] bytes = ThriftBytes.encode(new LoadDigestRecord(3, List.of(new EndpointLoadRecord(-7, 2, 17_000, 1))));
@@ -60,7 +60,7 @@
 			assertDecodingFails(new LoadDigestRecord(3, List.of(new EndpointLoadRecord(1, 1, 1, -1))));
 		}
 
-		// Whatever bytes come, reading them ends with a digest or a failure.
+		// Decoding arbitrary bytes returns a digest or a failure and never throws.
 		@Test
 		void damagedBytesNeverThrow() {
 			Random random = new Random(11);
--- a/daemon/src/test/java/org/acaciacourse/daemon/codec/LoadPeersCodecTests.java
+++ b/daemon/src/test/java/org/acaciacourse/daemon/codec/LoadPeersCodecTests.java
@@ -40,7 +40,7 @@
 		assertThat(replyTo(moved, new PollRequest()).getPeersRevision()).isNotEqualTo(before);
 	}
 
-	// Control VMs are replaced one after the other, and entries poll whichever answers.
+	// Control VMs are upgraded one by one, and an entry VM may poll any of them.
 	@Test
 	void controlVmOfThePreviousReleaseSendsAllPeersEachTime() {
 		PollReply old = new PollReply().setPeers(List.of("10.0.0.1:1"));
