--- a/daemon/src/main/java/org/acaciacourse/daemon/codec/CommandCodec.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/codec/CommandCodec.java
@@ -154,7 +154,7 @@
 	public static ClaimOutcome outcome(int ordinal) {
 		ClaimOutcome[] outcomes = ClaimOutcome.values();
 		if (ordinal < 0 || ordinal >= outcomes.length) {
-			throw new IllegalArgumentException("unknown outcome " + ordinal);
+			throw new IllegalArgumentException("unknown claim outcome: " + ordinal);
 		}
 		return outcomes[ordinal];
 	}
--- a/daemon/src/main/java/org/acaciacourse/daemon/codec/LoadDigestCodec.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/codec/LoadDigestCodec.java
@@ -67,7 +67,7 @@
 
 	private static PeerLoads.Load load(EndpointLoadRecord load) {
 		if (load.getInFlight() < 0 || load.getWaitingWork() < 0 || load.getBrief() < 0) {
-			throw new IllegalArgumentException("a load is below 0");
+			throw new IllegalArgumentException("negative load of endpoint " + load.getInstance());
 		}
 		return new PeerLoads.Load(load.getInstance(), load.getInFlight(), load.getWaitingWork(), load.getBrief());
 	}
--- a/daemon/src/main/java/org/acaciacourse/daemon/codec/ReplicaCodec.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/codec/ReplicaCodec.java
@@ -118,7 +118,7 @@
 	public static LogEntry decode(LogRecord entry) {
 		LogEntry.Kind[] kinds = LogEntry.Kind.values();
 		if (entry.getKind() < 0 || entry.getKind() >= kinds.length) {
-			throw new IllegalArgumentException("unknown kind of entry " + entry.getKind());
+			throw new IllegalArgumentException("unknown kind of log entry: " + entry.getKind());
 		}
 		return new LogEntry(entry.getIndex(), entry.getTerm(), kinds[entry.getKind()], entry.getPayload());
 	}
--- a/daemon/src/main/java/org/acaciacourse/daemon/codec/ThriftBytes.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/codec/ThriftBytes.java
@@ -56,7 +56,7 @@
 			return new TSerializer(protocol()).serialize(struct);
 		}
 		catch (TException ex) {
-			throw new IllegalArgumentException("struct cannot be encoded", ex);
+			throw new IllegalArgumentException("cannot encode struct " + struct.getClass().getSimpleName(), ex);
 		}
 	}
 
@@ -76,7 +76,7 @@
 
 	private static TTransport input(byte[] bytes) throws TTransportException {
 		if (bytes.length > MAX_BYTES) {
-			throw new TTransportException("more than " + MAX_BYTES + " bytes");
+			throw new TTransportException("struct too large: " + bytes.length + " bytes, limit " + MAX_BYTES);
 		}
 		return new TMemoryInputTransport(bounds(), bytes);
 	}
