--- a/daemon/src/main/java/org/acaciacourse/daemon/link/ConfigurationFollower.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/link/ConfigurationFollower.java
@@ -23,14 +23,15 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * What an entry VM knows of the configuration, from the answers to its polls.
+ * The configuration of an entry VM, built from poll replies.
  * <p>
- * Invariants: the number only grows; a document is taken only if its digest is the one
- * that goes with its number, so that a delta that met another base is found out and the
- * whole document is asked for. A whole one that has the control VM's checksum is taken
- * with the digest that it tells; the next delta is checked against the digest of all.
+ * Invariants: the number only grows; a document is accepted only if its digest matches
+ * the one reported with its number, so that a delta applied to a wrong base is detected
+ * and the full document requested. A full document is checked by the control VM's
+ * checksum if the reply has one, and its reported digest is then accepted unchecked; the
+ * next delta is verified by the digest of the whole resulting document.
  * <p>
- * Not thread safe: the thread that polls calls it.
+ * Not thread safe: used by the polling thread only.
  */
 final class ConfigurationFollower {
 
@@ -44,7 +45,8 @@
 
 	private long number;
 
-	// Empty until there is a configuration, so that the first one comes as a whole.
+	// Empty until there is a configuration, so that the first one is sent as a full
+	// document.
 	private String digest = "";
 
 	private boolean fullDocumentNeeded;
@@ -68,8 +70,8 @@
 	}
 
 	/**
-	 * Return the digest to poll with.
-	 * @return the digest in force, empty if the whole document is needed
+	 * Return the digest to send with a poll.
+	 * @return the digest in force, empty to request the full document
 	 */
 	String digest() {
 		return (this.fullDocumentNeeded) ? "" : this.digest;
@@ -84,9 +86,9 @@
 	}
 
 	/**
-	 * Take an answer.
-	 * @param reply a good answer to a poll
-	 * @return whether what is in force here is at least as new as the answer
+	 * Apply a poll reply.
+	 * @param reply a successful reply
+	 * @return whether the configuration in force is at least as new as the reply
 	 */
 	boolean apply(PollReply reply) {
 		if (reply.getNumber() > this.number) {
@@ -100,7 +102,7 @@
 		return this.number >= reply.getNumber();
 	}
 
-	// A reply without a count names 0.
+	// The count is 0 in a reply that has none.
 	private void applyEntryCount(int count) {
 		if (count > 0 && count == this.entryCount) {
 			this.listener.entryCountConfirmed();
--- a/daemon/src/main/java/org/acaciacourse/daemon/link/ConfigurationPoller.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/link/ConfigurationPoller.java
@@ -19,10 +19,10 @@
 import org.apache.thrift.TException;
 
 /**
- * The thread that polls a control VM, any of them, for the configuration. Until a
- * linearizable read has told what is the latest it asks for one; after that it waits for
- * changes. A connection that is silent for longer than a poll may take is replaced by one
- * to the next VM.
+ * Polls any one of the control VMs for the configuration, on a thread of its own. Each
+ * poll requests a linearizable read until one has returned the latest configuration;
+ * later polls only wait for changes. If a poll times out, its connection is replaced by
+ * one to the next control VM.
  * <p>
  * Thread safe.
  */
@@ -31,17 +31,17 @@
 	private static final Logger LOGGER = LogManager.getLogger(ConfigurationPoller.class);
 
 	/**
-	 * How long a poll waits for news. A connection that went silent is found out after
-	 * this and the timeout's reserve, within the time that a change may take to be in
-	 * force; shorter polls would cost more wake-ups for nothing.
+	 * How long a control VM holds a poll while there is no change. A dead connection is
+	 * detected after this time plus the reserve of the timeout, which is within the time
+	 * that a change may take to be in force. Shorter polls would only cost more wake-ups.
 	 */
 	private static final long POLL_WAIT_MILLIS = 900;
 
 	private static final Duration CALL_TIMEOUT = Duration.ofMillis(POLL_WAIT_MILLIS + 600);
 
 	/**
-	 * The pause after a poll that failed. The control VM itself holds a poll for a while
-	 * that it can't answer yet.
+	 * The delay after a failed poll. It can be short, as the control VM itself holds a
+	 * poll for a while if it cannot reply yet.
 	 */
 	private static final long RETRY_DELAY_MILLIS = 50;
 
@@ -61,7 +61,7 @@
 
 	private final Thread thread;
 
-	/** The control VMs that the settings name, then those that were learned. */
+	/** The control VMs named in the settings, then those reported by control VMs. */
 	private volatile List<String> controls;
 
 	private Optional<InnerConnection> connection = Optional.empty();
@@ -91,7 +91,8 @@
 	}
 
 	/**
-	 * Tell control at once that this VM is leaving, beside the poll that waits.
+	 * Notify a control VM at once that this VM is leaving, in parallel to the pending
+	 * poll.
 	 */
 	void leaving() {
 		this.leaving = true;
@@ -154,8 +155,8 @@
 		}
 	}
 
-	// The settings may name control VMs that are gone; the members of the log are known
-	// to every control VM.
+	// The settings may name control VMs that no longer exist. Every control VM knows the
+	// current members of the replicated log.
 	private void updateControls(List<String> members) {
 		if (members == null || members.isEmpty()) {
 			return;
--- a/daemon/src/main/java/org/acaciacourse/daemon/link/ControlLink.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/link/ControlLink.java
@@ -16,48 +16,48 @@
 import org.acaciacourse.protocol.generated.ClassReport;
 
 /**
- * An entry VM's link to the control VMs: the configuration in force, claims and crash
- * reports. A link finds the leader, replaces silent connections and never hands a
- * listener an older configuration than one before.
+ * An entry VM's link to the control VMs, for the configuration in force, claims and crash
+ * reports. A link finds the leader, replaces connections that do not respond and never
+ * passes a listener a configuration older than one it passed before.
  * <p>
- * Thread safe. Listeners are called on the link's own thread and must not block it.
+ * Thread safe. Listeners are called on the link's own thread and must not block.
  */
 public interface ControlLink extends AutoCloseable {
 
 	/**
-	 * Begin to follow the configuration.
-	 * @param listener gets what is new
-	 * @param reports yields the results per policy and class for the next poll
+	 * Start to follow the configuration.
+	 * @param listener the listener for changes
+	 * @param reports supplies the results per policy and class for the next poll
 	 */
 	void start(Listener listener, Supplier<List<ClassReport>> reports);
 
 	/**
-	 * Tell control that this VM is leaving.
+	 * Notify the control VMs that this VM is leaving.
 	 */
 	void leaving();
 
 	/**
-	 * Claim a request that may not be repeated. The stage never fails: without a quorum
-	 * it yields {@link ResultCode#CLAIM_UNAVAILABLE}.
-	 * @param key who claims what
+	 * Claim a request that must not be repeated. The stage never completes exceptionally:
+	 * without a quorum it yields {@link ResultCode#CLAIM_UNAVAILABLE}.
+	 * @param key the customer and the idempotency key
 	 * @param contentHash a hash of method, path and body
 	 * @param traceparent the trace context
-	 * @return what became of the claim; only a granted one permits to send the request
+	 * @return the result of the claim; the request may be sent only if it is granted
 	 */
 	CompletionStage<ClaimResult> claim(ClaimKey key, String contentHash, String traceparent);
 
 	/**
-	 * Record how a claimed request ended. Repeated until it is committed or the link is
-	 * closed.
+	 * Record the outcome of a claimed request. Retried until it is committed or the link
+	 * is closed.
 	 * @param key the key of the claim
-	 * @param outcome how it ended
-	 * @param response the whole answer if it is to be kept, else empty
-	 * @return ends once it is committed, with the code
+	 * @param outcome the outcome of the request
+	 * @param response the complete response if it is to be stored, else empty
+	 * @return a stage that completes with the result code once the outcome is committed
 	 */
 	CompletionStage<ResultCode> complete(ClaimKey key, ClaimOutcome outcome, byte[] response);
 
 	/**
-	 * Report proven crashes of a content, so that it is refused on all VMs.
+	 * Report proven crashes caused by a request content, so that all VMs refuse it.
 	 * @param contentHash the hash of the customer and the content
 	 * @param crashes the number of proven crashes
 	 */
@@ -67,18 +67,19 @@
 	void close();
 
 	/**
-	 * What became of a claim.
+	 * The result of a claim.
 	 *
-	 * @param granted whether this call made the claim, so that the request may be sent
-	 * @param code {@link ResultCode#OK} if granted or answered before, else the reason
-	 * @param outcome how the first request with the key stands
-	 * @param answer the kept answer, if there is one
+	 * @param granted whether this call acquired the claim, so that the request may be
+	 * sent
+	 * @param code {@link ResultCode#OK} if granted or already answered, else the reason
+	 * @param outcome the state of the first request with the key
+	 * @param answer the stored response, if there is one
 	 */
 	record ClaimResult(boolean granted, ResultCode code, ClaimOutcome outcome, Optional<byte[]> answer) {
 	}
 
 	/**
-	 * Gets what is new.
+	 * A listener for changes.
 	 */
 	interface Listener {
 
@@ -89,54 +90,55 @@
 		void manifest(Manifest manifest);
 
 		/**
-		 * A newer configuration of routes is in force.
+		 * A newer route table is in force.
 		 * @param table the table
 		 */
 		default void routes(RouteTable table) {
 		}
 
 		/**
-		 * A control VM told the fleet, be it the same as before: it is confirmed.
+		 * A control VM reported the fleet. Also called if the fleet is unchanged, which
+		 * confirms it.
 		 * @param fleet the fleet
 		 */
 		default void fleet(Fleet fleet) {
 		}
 
 		/**
-		 * Which other entries are live, as of this call.
-		 * @param peers the entries that take the load of others
+		 * The live entry VMs were reported. They may be the same as before.
+		 * @param peers the other entry VMs that receive load digests
 		 */
 		default void peers(List<LoadPeer> peers) {
 		}
 
 		/**
-		 * The configuration is known to be the latest committed one as of this call; the
-		 * VM may become ready.
+		 * The configuration is confirmed to be the latest committed one; the VM may
+		 * become ready.
 		 */
 		void upToDate();
 
 		/**
-		 * The platform's list says something new of an endpoint.
+		 * The status of an endpoint in the platform's list changed.
 		 * @param endpoint the name of the endpoint
-		 * @param status its status
+		 * @param status the new status
 		 */
 		void endpointStatus(String endpoint, EndpointStatus status);
 
 		/**
-		 * A content is proven to crash endpoints.
+		 * A request content is proven to crash endpoints.
 		 * @param contentHash the hash of the customer and the content
 		 * @param crashes the number of proven crashes
 		 */
 		void crash(long contentHash, int crashes);
 
 		/**
-		 * How many entry VMs share the limits of customers changed.
+		 * The number of entry VMs that share the limits of customers changed.
 		 * @param count the number of live entry VMs, at least 1
 		 */
 		void entryCount(int count);
 
 		/**
-		 * Control told the number of entry VMs again, and it is the same.
+		 * A control VM reported the number of entry VMs again, unchanged.
 		 */
 		default void entryCountConfirmed() {
 		}
--- a/daemon/src/main/java/org/acaciacourse/daemon/link/LeaderCallExecutor.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/link/LeaderCallExecutor.java
@@ -9,8 +9,8 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * A few threads that call the leader, behind one bounded ring. Each thread has its own
- * connection, so that calls under way at the same time are committed together.
+ * Runs calls to the leader on a fixed number of threads with one bounded queue. Each
+ * thread has its own connection, so that concurrent calls are committed in one batch.
  * <p>
  * Thread safe.
  */
@@ -34,9 +34,9 @@
 	}
 
 	/**
-	 * Hand a task to a thread.
+	 * Queue a task for one of the threads.
 	 * @param task the task
-	 * @return whether there was room for it
+	 * @return whether the queue had room for it
 	 */
 	boolean submit(Task task) {
 		return this.queue.offer(task);
--- a/daemon/src/main/java/org/acaciacourse/daemon/link/LeaderCaller.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/link/LeaderCaller.java
@@ -12,11 +12,11 @@
 import org.apache.thrift.TException;
 
 /**
- * Calls the leader: follows redirects, tries the next control VM when one is silent, and
- * replaces a connection after any failure. A call may have taken effect although it
- * failed, so only calls that are idempotent belong here.
+ * A client of the leader: follows redirects, tries the next control VM if one does not
+ * respond, and replaces a connection after any failure. A failed call may still have
+ * taken effect, so only idempotent calls may be made through it.
  * <p>
- * Not thread safe: one thread calls it.
+ * Not thread safe: used by one thread only.
  */
 public final class LeaderCaller implements AutoCloseable {
 
@@ -33,7 +33,7 @@
 	private Optional<InnerConnection> connection = Optional.empty();
 
 	/**
-	 * Make a caller.
+	 * Create a client.
 	 * @param addresses the addresses of the control VMs, at least one
 	 */
 	public LeaderCaller(List<String> addresses) {
@@ -42,12 +42,12 @@
 	}
 
 	/**
-	 * Call until the leader answers or the time is over.
-	 * @param <T> the type of the answer
+	 * Retry a call until the leader responds or the timeout expires.
+	 * @param <T> the type of the response
 	 * @param call the call
-	 * @param resultOf finds the result in an answer
-	 * @param timeout the time for all attempts
-	 * @return the answer, the last refusal if there was no other, or nothing
+	 * @param resultOf extracts the result from a response
+	 * @param timeout the time limit for all attempts
+	 * @return the response, or the last refusal, or empty if no control VM responded
 	 * @throws InterruptedException if the thread is interrupted
 	 */
 	public <T> Optional<T> call(Call<T> call, Function<T, Result> resultOf, Duration timeout)
@@ -105,9 +105,9 @@
 	}
 
 	/**
-	 * A call on a connection.
+	 * A call over a connection.
 	 *
-	 * @param <T> the type of the answer
+	 * @param <T> the type of the response
 	 */
 	@FunctionalInterface
 	public interface Call<T> {
@@ -115,8 +115,8 @@
 		/**
 		 * Make the call.
 		 * @param client the service
-		 * @return the answer
-		 * @throws TException if there is none
+		 * @return the response
+		 * @throws TException if the call failed
 		 */
 		T execute(ControlService.Iface client) throws TException;
 
--- a/daemon/src/main/java/org/acaciacourse/daemon/link/LinkOptions.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/link/LinkOptions.java
@@ -9,16 +9,16 @@
 import org.acaciacourse.daemon.inner.SharedKey;
 
 /**
- * What a link to control is made with.
+ * The options of a link to the control VMs.
  * <p>
  * Immutable and thread safe.
  *
  * @param vm the name of the VM
  * @param dataCentre its data centre
  * @param controls the addresses of the control VMs, at least one
- * @param key the key of the inner connections
- * @param seeds yields the control VMs that the settings name at present
- * @param loadAddress where the other entries send their load to, empty if they should not
+ * @param key the shared key of the internal connections
+ * @param seeds supplies the control VMs that the settings name at present
+ * @param loadAddress the address for load digests of other entry VMs, empty for none
  */
 public record LinkOptions(String vm, String dataCentre, List<String> controls, SharedKey key,
 		Supplier<List<String>> seeds, String loadAddress) {
@@ -31,11 +31,11 @@
 	}
 
 	/**
-	 * Make options whose control VMs do not change.
+	 * Create options with a fixed list of control VMs.
 	 * @param vm the name of the VM
 	 * @param dataCentre its data centre
 	 * @param controls the addresses of the control VMs, at least one
-	 * @param key the key of the inner connections
+	 * @param key the shared key of the internal connections
 	 */
 	public LinkOptions(String vm, String dataCentre, List<String> controls, SharedKey key) {
 		this(vm, dataCentre, controls, key, () -> controls, "");
--- a/daemon/src/main/java/org/acaciacourse/daemon/link/ThriftControlLink.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/link/ThriftControlLink.java
@@ -24,12 +24,12 @@
 import org.acaciacourse.protocol.generated.TraceContext;
 
 /**
- * The link over Thrift. One thread follows the configuration; claims and completions have
- * threads of their own behind bounded rings, so that completions that wait for a quorum
- * do not hold up the refusal of claims.
+ * A control link over Thrift. One thread polls for the configuration; claims and
+ * completions each have their own threads and bounded queue, so that completions that
+ * wait for a quorum do not delay the refusal of claims.
  * <p>
- * Each claim has an owner of its own: the run of this process and a number. A resend of
- * the same claim is told by that from the claim of a later request.
+ * Each claim has a unique owner: the identifier of this run of the process and a number.
+ * The owner distinguishes a retry of the same claim from the claim of a later request.
  * <p>
  * Thread safe.
  */
@@ -58,8 +58,8 @@
 	private Optional<ConfigurationPoller> poller = Optional.empty();
 
 	/**
-	 * Make a link.
-	 * @param options what it is made with
+	 * Create a link.
+	 * @param options the options of the link
 	 */
 	public ThriftControlLink(LinkOptions options) {
 		this.options = options;
@@ -68,9 +68,9 @@
 		this.completionExecutor = new LeaderCallExecutor("control-complete", options.controls(), COMPLETE_THREADS);
 	}
 
-	// Two starts of a VM differ in the moment by one of both clocks. Nothing depends on a
-	// name that can't be guessed, and the first random number of a process that can't be
-	// takes 25 ms of a start.
+	// Two starts of a VM differ in at least one of the two clocks. The identifier need
+	// not be unpredictable, and the first secure random number of a process would add 25
+	// ms to the start.
 	private static String newRunId() {
 		HexFormat hex = HexFormat.of();
 		return hex.toHexDigits(System.currentTimeMillis()) + hex.toHexDigits(System.nanoTime());
@@ -115,8 +115,9 @@
 		boolean delivered = result.complete(claim);
 		boolean outcomeUnknown = claim.code() == ResultCode.CLAIM_UNAVAILABLE;
 		if (outcomeUnknown || (claim.granted() && !delivered)) {
-			// The claim may be committed, but its request will not be sent: without
-			// this the key would stay in progress and refuse the caller's own repeat.
+			// The claim may be committed, but its request will not be sent. Without this
+			// completion the key would stay in progress and a retry by the caller would
+			// be refused.
 			complete(key, owner, ClaimOutcome.NOT_RUN, new byte[0]);
 		}
 	}
--- a/daemon/src/main/java/org/acaciacourse/daemon/link/package-info.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/link/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The link of an entry VM to the control VMs.
+ * An entry VM's link to the control VMs.
  */
 package org.acaciacourse.daemon.link;
--- a/daemon/src/test/java/org/acaciacourse/daemon/link/ConfigurationFollowerTests.java
+++ b/daemon/src/test/java/org/acaciacourse/daemon/link/ConfigurationFollowerTests.java
@@ -50,8 +50,8 @@
 
 		@Test
 		void neverGoBackwards() {
-			// The entry polls another control VM, one that lags behind or was cut off,
-			// and gets an older configuration. It keeps what it has.
+			// The entry VM polls another control VM that lags behind or was partitioned,
+			// and receives an older configuration. It keeps the newer one.
 			assertThat(ConfigurationFollowerTests.this.follower.apply(fullReply(8))).isTrue();
 			assertThat(ConfigurationFollowerTests.this.follower.apply(fullReply(7))).isTrue();
 			assertThat(ConfigurationFollowerTests.this.follower.number()).isEqualTo(8);
@@ -65,8 +65,8 @@
 
 		@Test
 		void deltaFromAnotherBaseRequestsTheFullDocument() {
-			// The delta starts from a configuration that the entry does not have. Applied
-			// all the same it would give a mixture that nobody handed in.
+			// The delta starts from a configuration that the entry VM does not have.
+			// Applying it would produce a mixture that no operator submitted.
 			ConfigurationFollower follower = ConfigurationFollowerTests.this.follower;
 			follower.apply(fullReply(1));
 			assertThat(follower.apply(deltaReply(2, 3))).isFalse();
@@ -85,8 +85,8 @@
 			assertThat(ConfigurationFollowerTests.this.events).isEmpty();
 		}
 
-		// An entry that starts checks the whole by its checksum, as a digest takes too
-		// long then. Damage has to be found all the same.
+		// A starting entry VM checks the full document by its checksum, since computing
+		// the digest would take too long. Damage must still be detected.
 		@Test
 		void fullDocumentIsCheckedByChecksumIfPresent() {
 			PollReply damaged = fullReply(2).setChecksum(document(2).checksum());
@@ -130,7 +130,7 @@
 
 	}
 
-	/** Notes what a listener gets. */
+	/** Records the calls to a listener. */
 	private final class RecordingListener implements ControlLink.Listener {
 
 		@Override
--- a/daemon/src/test/java/org/acaciacourse/daemon/link/ThriftControlLinkTests.java
+++ b/daemon/src/test/java/org/acaciacourse/daemon/link/ThriftControlLinkTests.java
@@ -60,9 +60,10 @@
 
 		@Test
 		void switchesAwayFromASilentControlVm() throws Exception {
-			// The entry's control VM accepts the connection and never answers, as
-			// behind something that has lost track of it. The poll times out, the link
-			// goes to the next VM, and the entry gets the configuration within seconds.
+			// The control VM accepts the connection and never replies, as when a device
+			// on the path has lost the connection's state. The poll must time out and the
+			// link switch to the next control VM, so that the entry VM gets the
+			// configuration within seconds.
 			try (ControlCluster cluster = new ControlCluster(ThriftControlLinkTests.this.folder, 1).startAll();
 					SilentServer silent = new SilentServer()) {
 				cluster.apply(ControlCluster.manifest(1, "urgent"));
@@ -88,8 +89,9 @@
 
 		@Test
 		void areGrantedOnceAndAnsweredAfterwards() throws Exception {
-			// Two entries get the same request, which may not be repeated, at once. One
-			// may send it; the other is told that it runs, then gets the kept answer.
+			// Two entry VMs receive the same non-repeatable request at once. One may send
+			// it; the other learns that it is in progress, and later gets the stored
+			// response.
 			try (ControlCluster cluster = new ControlCluster(ThriftControlLinkTests.this.folder, 3).startAll();
 					ControlLink first = new ThriftControlLink(cluster.link("entry-1"));
 					ControlLink second = new ThriftControlLink(cluster.link("entry-2"))) {
@@ -105,8 +107,8 @@
 
 		@Test
 		void areRefusedWithoutAQuorum() throws Exception {
-			// No control VM can be reached: the request must not be sent, and the
-			// caller is told so instead of being kept waiting.
+			// No control VM responds: the request must not be sent, and the claim is
+			// refused instead of waiting without bound.
 			try (SilentServer silent = new SilentServer()) {
 				LinkOptions options = new LinkOptions("entry-1", "accra-a", List.of(silent.address()),
 						new SharedKey("0123456789abcdef"));
@@ -120,7 +122,7 @@
 
 	}
 
-	/** Accepts connections and never answers. */
+	/** Accepts connections and never replies. */
 	private static final class SilentServer implements AutoCloseable {
 
 		private final ServerSocket socket;
@@ -140,7 +142,7 @@
 
 	}
 
-	/** Notes what a listener gets. */
+	/** Records the calls to a listener. */
 	private static final class RecordingListener implements ControlLink.Listener {
 
 		private final List<Long> numbers = new CopyOnWriteArrayList<>();
