--- a/daemon/src/main/java/org/acaciacourse/daemon/link/ConfigurationFollower.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/link/ConfigurationFollower.java
@@ -123,7 +123,8 @@
 	private void applyDocument(PollReply reply) {
 		Optional<ManifestDocument> next = documentOf(reply);
 		if (next.isEmpty()) {
-			LOGGER.warn("the change to manifest {} does not fit, the whole is asked for", reply.getNumber());
+			LOGGER.warn("update to manifest {} does not apply to the current one, requesting the full document",
+					reply.getNumber());
 			this.fullDocumentNeeded = true;
 			return;
 		}
@@ -143,7 +144,7 @@
 				? this.routeTableParser.parse(next).map((table) -> () -> this.listener.routes(table))
 				: ManifestParser.manifest(next).map((manifest) -> () -> this.listener.manifest(manifest));
 		if (notification.isLeft()) {
-			LOGGER.error("manifest {} cannot be used by this version, the one before stays in force: {}", newNumber,
+			LOGGER.error("manifest {} is not valid for this version, keeping the previous one: {}", newNumber,
 					notification.getLeft());
 		}
 		return notification.toJavaOptional();
--- a/daemon/src/main/java/org/acaciacourse/daemon/link/ConfigurationPoller.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/link/ConfigurationPoller.java
@@ -110,7 +110,7 @@
 				return;
 			}
 			catch (TException | RuntimeException ex) {
-				LOGGER.debug("control VM {} cannot be told of the stop", address, ex);
+				LOGGER.debug("cannot notify control VM {} that this VM is leaving", address, ex);
 			}
 		}
 	}
--- a/daemon/src/main/java/org/acaciacourse/daemon/link/LeaderCallExecutor.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/link/LeaderCallExecutor.java
@@ -58,7 +58,7 @@
 			task.run(client);
 		}
 		catch (RuntimeException ex) {
-			LOGGER.error("a call to control failed unexpectedly", ex);
+			LOGGER.error("call to the control leader failed with an unexpected exception", ex);
 		}
 	}
 
--- a/daemon/src/main/java/org/acaciacourse/daemon/link/LinkOptions.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/link/LinkOptions.java
@@ -26,7 +26,7 @@
 	public LinkOptions {
 		controls = List.copyOf(controls);
 		if (controls.isEmpty()) {
-			throw new IllegalArgumentException("controls must not be empty");
+			throw new IllegalArgumentException("at least one control VM address is required");
 		}
 	}
 
