--- a/daemon/src/main/java/org/acaciacourse/daemon/inner/InnerConnection.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/inner/InnerConnection.java
@@ -16,26 +16,26 @@
 import org.apache.thrift.transport.layered.TFramedTransport;
 
 /**
- * A client's connection to a control VM. Every call has an answer and a bound on the time
- * for it: something between the ends may have lost track of the connection, so that it
- * stays silent for good while new ones work. A call that times out makes its connection
- * useless; the owner closes it and opens another.
+ * A client's connection to a control VM. Every call has a response and a timeout: a
+ * device on the path may lose the connection's state, so that it never delivers data
+ * again while new connections work. A connection is unusable after a call timed out on
+ * it; the owner closes it and opens another.
  * <p>
  * Not thread safe: one call at a time.
  */
 public final class InnerConnection implements AutoCloseable {
 
-	/** Name of the replicas' service on a connection. */
+	/** Service name of the replica service in the multiplexed protocol. */
 	static final String REPLICA_SERVICE = "replica";
 
-	/** Name of the service for entries and operators on a connection. */
+	/** Service name of the control service, for entry VMs and operators. */
 	static final String CONTROL_SERVICE = "control";
 
 	/**
-	 * Several round trips between data centres, which are tens of milliseconds. A host
-	 * that is up answers within one; to one that has no power yet, or over a link that
-	 * loses packets, TCP itself tries again after a second only, and a caller that waits
-	 * for that neither asks another VM nor reaches this one once it is up.
+	 * Several round trips between data centres, which take tens of milliseconds each. A
+	 * running host accepts within one. If the host is not up yet or packets are lost, TCP
+	 * retransmits only after a second; a client that waited for that would neither try
+	 * another VM nor reach this one as soon as it is up.
 	 */
 	private static final int CONNECT_TIMEOUT_MILLIS = 200;
 
@@ -55,9 +55,9 @@
 	/**
 	 * Open a connection.
 	 * @param address the IP number and port
-	 * @param timeout the longest time for the answer to a call
+	 * @param timeout the timeout for the response to a call
 	 * @return the connection
-	 * @throws TTransportException if nobody answers there
+	 * @throws TTransportException if the connection cannot be established
 	 */
 	public static InnerConnection open(String address, Duration timeout) throws TTransportException {
 		InetSocketAddress parsed = parse(address);
@@ -69,7 +69,7 @@
 	}
 
 	/**
-	 * Read an address.
+	 * Parse an address.
 	 * @param address the IP number and port
 	 * @return the address
 	 */
@@ -88,7 +88,7 @@
 	}
 
 	/**
-	 * Write an address.
+	 * Format an address.
 	 * @param address the address
 	 * @return the IP number and port
 	 */
@@ -98,7 +98,7 @@
 	}
 
 	/**
-	 * Return the service for entries and operators.
+	 * Return the control service, for entry VMs and operators.
 	 * @return the client
 	 */
 	public ControlService.Client control() {
@@ -106,7 +106,7 @@
 	}
 
 	/**
-	 * Return the replicas' service.
+	 * Return the replica service.
 	 * @return the client
 	 */
 	public ReplicaService.Client replica() {
--- a/daemon/src/main/java/org/acaciacourse/daemon/inner/InnerServer.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/inner/InnerServer.java
@@ -19,10 +19,10 @@
 import org.apache.thrift.transport.layered.TFramedTransport;
 
 /**
- * The server of the inner protocol on a control VM: a thread for each connection, at most
- * {@value #MAX_CONNECTIONS}, which is what 380 entries that poll need three times over. A
- * connection that stays silent is closed after {@value #IDLE_TIMEOUT_MILLIS} ms, so that
- * dead peers do not hold threads.
+ * The server for internal connections on a control VM, with one thread per connection and
+ * at most {@value #MAX_CONNECTIONS} connections, three times what 380 polling entry VMs
+ * need. An idle connection is closed after {@value #IDLE_TIMEOUT_MILLIS} ms, so that dead
+ * peers do not occupy threads.
  * <p>
  * Thread safe.
  */
@@ -41,10 +41,10 @@
 	private final Thread acceptor;
 
 	/**
-	 * Make a server.
+	 * Create a server.
 	 * @param listener the bound socket
-	 * @param replica serves the replicas
-	 * @param control serves entries and operators
+	 * @param replica the service for replicas
+	 * @param control the service for entry VMs and operators
 	 * @throws TTransportException if the socket can't be used
 	 */
 	public InnerServer(ServerSocket listener, ReplicaService.Iface replica, ControlService.Iface control)
@@ -74,7 +74,7 @@
 	}
 
 	/**
-	 * Begin to serve.
+	 * Start to accept connections.
 	 */
 	public void start() {
 		this.acceptor.start();
@@ -86,7 +86,10 @@
 		this.socket.closeAll();
 	}
 
-	/** Remembers its connections: a stopped server's threads would go on serving them. */
+	/**
+	 * Tracks accepted connections to close them: the threads of a stopped server would
+	 * otherwise keep serving them.
+	 */
 	private static final class TrackingServerSocket extends TServerSocket {
 
 		private final Set<TSocket> openSockets = ConcurrentHashMap.newKeySet();
--- a/daemon/src/main/java/org/acaciacourse/daemon/inner/SharedKey.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/inner/SharedKey.java
@@ -4,8 +4,9 @@
 import java.security.MessageDigest;
 
 /**
- * A key that both ends of a connection know. It crosses the connection as it is, so the
- * inner connections belong on loopback or on a network that only the system's VMs reach.
+ * A secret key known to both ends of an internal connection. It is sent in clear text, so
+ * internal connections must run over loopback or a network that only the VMs of the
+ * system can reach.
  * <p>
  * Immutable and thread safe. The key is never printed.
  */
@@ -14,7 +15,7 @@
 	private final String key;
 
 	/**
-	 * Make a key.
+	 * Create a key.
 	 * @param key the text of the key
 	 */
 	public SharedKey(String key) {
@@ -22,7 +23,7 @@
 	}
 
 	/**
-	 * Return the text that goes with a call.
+	 * Return the text that is sent with a call.
 	 * @return the key
 	 */
 	public String text() {
@@ -30,8 +31,9 @@
 	}
 
 	/**
-	 * Compare in a time that tells nothing of how much of a guess is right.
-	 * @param offered the key that came with a call, or {@code null}
+	 * Compare in constant time, so that the duration does not reveal how much of a guess
+	 * is right.
+	 * @param offered the key received with a call, or {@code null}
 	 * @return whether it is this key
 	 */
 	public boolean matches(String offered) {
--- a/daemon/src/main/java/org/acaciacourse/daemon/inner/package-info.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/inner/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Connections of the inner protocol: Thrift servers and clients with bounds, timeouts and
- * the shared key.
+ * Internal connections between VMs: Thrift servers and clients with size limits, timeouts
+ * and the shared key.
  */
 package org.acaciacourse.daemon.inner;
