--- a/daemon/src/main/java/org/acaciacourse/daemon/cli/Main.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/cli/Main.java
@@ -40,8 +40,8 @@
 		ServiceLoader.load(Command.class).forEach((command) -> commands.put(command.name(), command));
 		GlobalOptions options = new GlobalOptions();
 		JCommander commander = JCommander.newBuilder().programName(PROGRAM).addObject(options).build();
-		asked(commands, args).forEach(commander::addCommand);
-		if (args.length > 1 && commands.containsKey(args[0]) && asksForHelp(args)) {
+		commandsToParse(commands, args).forEach(commander::addCommand);
+		if (args.length > 1 && commands.containsKey(args[0]) && requestsHelp(args)) {
 			commander.getUsageFormatter().usage(args[0]);
 			return ResultCode.OK;
 		}
@@ -66,13 +66,13 @@
 
 	// The options of a command are found by reflection. To do that for all commands would
 	// take a third of the processor time until an entry listens.
-	private static Map<String, Command> asked(Map<String, Command> commands, String... args) {
+	private static Map<String, Command> commandsToParse(Map<String, Command> commands, String... args) {
 		boolean known = args.length > 0 && commands.containsKey(args[0]);
 		return (known) ? Map.of(args[0], commands.get(args[0])) : commands;
 	}
 
 	// A command may have required options, which must not get in the way of its help.
-	private static boolean asksForHelp(String... args) {
+	private static boolean requestsHelp(String... args) {
 		return Arrays.stream(args).anyMatch((arg) -> arg.equals("--help") || arg.equals("-h"));
 	}
 
--- a/daemon/src/main/java/org/acaciacourse/daemon/cli/SettingsFile.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/cli/SettingsFile.java
@@ -29,7 +29,7 @@
 	 */
 	public static Either<ResultCode, Settings> read(Path file, Set<String> sections) {
 		try {
-			return Settings.parse(Files.readString(file), sections).mapLeft(SettingsFile::print);
+			return Settings.parse(Files.readString(file), sections).mapLeft(SettingsFile::printProblems);
 		}
 		catch (IOException ex) {
 			System.err.println(ResultCode.FILE_UNREADABLE.number() + " cannot read " + file);
@@ -37,7 +37,7 @@
 		}
 	}
 
-	private static ResultCode print(List<Problem> problems) {
+	private static ResultCode printProblems(List<Problem> problems) {
 		problems.forEach((problem) -> System.err.println(ResultCode.INVALID_SETTINGS.number() + " " + problem));
 		return ResultCode.INVALID_SETTINGS;
 	}
--- a/daemon/src/main/java/org/acaciacourse/daemon/cli/StopSignal.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/cli/StopSignal.java
@@ -16,9 +16,9 @@
  */
 public final class StopSignal {
 
-	private static final int HALT_AT = 3;
+	private static final int HALT_SIGNAL_COUNT = 3;
 
-	private final CountDownLatch asked = new CountDownLatch(1);
+	private final CountDownLatch stopRequested = new CountDownLatch(1);
 
 	private final AtomicInteger count = new AtomicInteger();
 
@@ -31,11 +31,11 @@
 	}
 
 	private void stop() {
-		if (this.count.incrementAndGet() >= HALT_AT) {
+		if (this.count.incrementAndGet() >= HALT_SIGNAL_COUNT) {
 			System.err.println(ResultCode.DRAIN_LIMIT.number() + " stopped by a third signal");
 			Runtime.getRuntime().halt(ResultCode.DRAIN_LIMIT.exitStatus());
 		}
-		this.asked.countDown();
+		this.stopRequested.countDown();
 	}
 
 	/**
@@ -43,7 +43,7 @@
 	 * @throws InterruptedException if the waiting thread is interrupted
 	 */
 	public void await() throws InterruptedException {
-		this.asked.await();
+		this.stopRequested.await();
 	}
 
 	/**
--- a/daemon/src/main/java/org/acaciacourse/daemon/cli/StopWait.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/cli/StopWait.java
@@ -18,17 +18,17 @@
 
 	/**
 	 * Wait for a condition.
-	 * @param hurry whether to wait no longer
+	 * @param cancelled whether to wait no longer
 	 * @param limit the longest time
 	 * @param condition what is waited for
 	 * @return whether the condition holds
 	 * @throws InterruptedException if the thread is interrupted
 	 */
-	public static boolean until(BooleanSupplier hurry, Duration limit, BooleanSupplier condition)
+	public static boolean until(BooleanSupplier cancelled, Duration limit, BooleanSupplier condition)
 			throws InterruptedException {
 		long end = System.nanoTime() + limit.toNanos();
 		while (!condition.getAsBoolean()) {
-			if (hurry.getAsBoolean() || System.nanoTime() - end >= 0) {
+			if (cancelled.getAsBoolean() || System.nanoTime() - end >= 0) {
 				return false;
 			}
 			TimeUnit.MILLISECONDS.sleep(POLL_MILLIS);
--- a/daemon/src/main/java/org/acaciacourse/daemon/explain/ExplainCommand.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/explain/ExplainCommand.java
@@ -22,7 +22,7 @@
 public final class ExplainCommand implements Command {
 
 	@Parameter(required = true, description = "ID LOG...")
-	private List<String> words = new ArrayList<>();
+	private List<String> arguments = new ArrayList<>();
 
 	@Override
 	public String name() {
@@ -31,15 +31,15 @@
 
 	@Override
 	public ResultCode run() {
-		if (this.words.size() < 2) {
+		if (this.arguments.size() < 2) {
 			System.err.println(ResultCode.INVALID_ARGUMENTS.number() + " expected an id and at least one log");
 			return ResultCode.INVALID_ARGUMENTS;
 		}
-		Explanation explanation = new Explanation(this.words.get(0));
-		for (String log : this.words.subList(1, this.words.size())) {
+		Explanation explanation = new Explanation(this.arguments.get(0));
+		for (String log : this.arguments.subList(1, this.arguments.size())) {
 			// Lines that a fault filled with other bytes must not end the search.
 			try (Stream<String> lines = Files.lines(Path.of(log), StandardCharsets.ISO_8859_1)) {
-				lines.forEach(explanation::take);
+				lines.forEach(explanation::add);
 			}
 			catch (IOException ex) {
 				System.err.println(ResultCode.FILE_UNREADABLE.number() + " cannot read " + log);
--- a/daemon/src/main/java/org/acaciacourse/daemon/explain/Explanation.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/explain/Explanation.java
@@ -24,22 +24,22 @@
 final class Explanation {
 
 	/** A line may be written some milliseconds after one with a later time. */
-	private static final Duration STEP = Duration.ofMillis(100);
+	private static final Duration CLOCK_TOLERANCE = Duration.ofMillis(100);
 
 	/** The events that change what a VM believes, of which the latest of each counts. */
-	private static final Set<String> BELIEFS = Set.of(LogEvent.CONFIGURATION.label(), LogEvent.FLEET.label(),
+	private static final Set<String> STATE_EVENTS = Set.of(LogEvent.CONFIGURATION.label(), LogEvent.FLEET.label(),
 			LogEvent.CONTROL_LOST.label(), LogEvent.CONTROL_REGAINED.label(), LogEvent.LEADER.label(),
 			LogEvent.MEMBERS.label(), LogEvent.STARTED.label(), LogEvent.STOPPING.label());
 
 	private final String request;
 
-	private final Map<String, Map<String, LogLine>> beliefs = new HashMap<>();
+	private final Map<String, Map<String, LogLine>> stateLines = new HashMap<>();
 
-	private final Map<String, Instant> latest = new HashMap<>();
+	private final Map<String, Instant> previousTimes = new HashMap<>();
 
-	private final Map<String, Instant> highest = new HashMap<>();
+	private final Map<String, Instant> maxTimes = new HashMap<>();
 
-	private final List<Step> steps = new ArrayList<>();
+	private final List<Match> matches = new ArrayList<>();
 
 	Explanation(String request) {
 		this.request = request;
@@ -49,27 +49,28 @@
 	 * Take the next line of a log.
 	 * @param text the text of the line
 	 */
-	void take(String text) {
-		LogLine.parse(text).ifPresent(this::take);
+	void add(String text) {
+		LogLine.parse(text).ifPresent(this::add);
 	}
 
-	private void take(LogLine line) {
-		Instant before = this.latest.put(line.vm(), line.at());
-		Duration back = (before != null) ? Duration.between(line.at(), before) : Duration.ZERO;
-		Instant order = this.highest.merge(line.vm(), line.at(), (one, other) -> (one.isAfter(other)) ? one : other);
-		Map<String, LogLine> believed = this.beliefs.computeIfAbsent(line.vm(), (vm) -> new LinkedHashMap<>());
-		if (BELIEFS.contains(line.event())) {
-			believed.remove(line.event());
-			believed.put(line.event(), line);
+	private void add(LogLine line) {
+		Instant previous = this.previousTimes.put(line.vm(), line.at());
+		Duration back = (previous != null) ? Duration.between(line.at(), previous) : Duration.ZERO;
+		Instant sortTime = this.maxTimes.merge(line.vm(), line.at(),
+				(one, other) -> (one.isAfter(other)) ? one : other);
+		Map<String, LogLine> vmState = this.stateLines.computeIfAbsent(line.vm(), (vm) -> new LinkedHashMap<>());
+		if (STATE_EVENTS.contains(line.event())) {
+			vmState.remove(line.event());
+			vmState.put(line.event(), line);
 		}
-		if (line.tellsOf(this.request)) {
-			Optional<Duration> step = Optional.of(back).filter((b) -> b.compareTo(STEP) > 0);
-			this.steps.add(new Step(line, order, List.copyOf(believed.values()), step));
+		if (line.concerns(this.request)) {
+			Optional<Duration> clockStep = Optional.of(back).filter((b) -> b.compareTo(CLOCK_TOLERANCE) > 0);
+			this.matches.add(new Match(line, sortTime, List.copyOf(vmState.values()), clockStep));
 		}
 	}
 
 	boolean isEmpty() {
-		return this.steps.isEmpty();
+		return this.matches.isEmpty();
 	}
 
 	/**
@@ -78,18 +79,18 @@
 	 */
 	String text() {
 		StringBuilder text = new StringBuilder();
-		this.steps.sort(Comparator.comparing(Step::order));
-		for (Step step : this.steps) {
-			step.clockStep()
+		this.matches.sort(Comparator.comparing(Match::sortTime));
+		for (Match match : this.matches) {
+			match.clockStep()
 				.ifPresent((back) -> text.append("  the clock of ")
-					.append(step.line().vm())
+					.append(match.line().vm())
 					.append(" went back by ")
 					.append(back.toMillis())
 					.append(" ms before this line\n"));
-			text.append(describe(step.line())).append('\n');
-			step.beliefs().forEach((belief) -> text.append("    believed: ").append(describe(belief)).append('\n'));
+			text.append(describe(match.line())).append('\n');
+			match.stateLines().forEach((state) -> text.append("    believed: ").append(describe(state)).append('\n'));
 		}
-		LogLine last = this.steps.get(this.steps.size() - 1).line();
+		LogLine last = this.matches.get(this.matches.size() - 1).line();
 		return text.append("decided by: ").append(describe(last)).append('\n').toString();
 	}
 
@@ -111,11 +112,11 @@
 	 * A line that tells of the request.
 	 *
 	 * @param line the line
-	 * @param order the latest time that its VM has shown so far, which never goes back
-	 * @param beliefs what its VM believed, oldest first
+	 * @param sortTime the latest time that its VM has shown so far, which never goes back
+	 * @param stateLines what its VM believed, oldest first
 	 * @param clockStep by how much the clock went back before it, if it did
 	 */
-	private record Step(LogLine line, Instant order, List<LogLine> beliefs, Optional<Duration> clockStep) {
+	private record Match(LogLine line, Instant sortTime, List<LogLine> stateLines, Optional<Duration> clockStep) {
 	}
 
 }
--- a/daemon/src/main/java/org/acaciacourse/daemon/explain/LogLine.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/explain/LogLine.java
@@ -53,12 +53,12 @@
 	 * @param request the id of the request
 	 * @return whether it names the request, be it among others
 	 */
-	boolean tellsOf(String request) {
+	boolean concerns(String request) {
 		if (this.fields.path("request").asText().equals(request)) {
 			return true;
 		}
-		for (JsonNode one : this.fields.path("requests")) {
-			if (one.asText().equals(request)) {
+		for (JsonNode id : this.fields.path("requests")) {
+			if (id.asText().equals(request)) {
 				return true;
 			}
 		}
--- a/daemon/src/main/java/org/acaciacourse/daemon/operator/ApplyCommand.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/operator/ApplyCommand.java
@@ -29,7 +29,7 @@
 @Parameters(commandDescription = "Hand in a whole manifest")
 public final class ApplyCommand implements Command {
 
-	private static final long ASK_MILLIS = 100;
+	private static final long POLL_INTERVAL_MILLIS = 100;
 
 	@Parameter(description = "FILE", required = true)
 	private String file;
@@ -76,7 +76,7 @@
 
 	private ResultCode apply(ControlClient control, ManifestDocument document, Output output)
 			throws InterruptedException {
-		long began = System.nanoTime();
+		long startNanos = System.nanoTime();
 		ApplyReply reply = control.apply(document, this.operator);
 		ResultCode code = ControlClient.codeOf(reply.getResult());
 		ObjectNode object = output.object(code).put("number", reply.getNumber()).put("digest", reply.getDigest());
@@ -87,17 +87,17 @@
 					+ "\n";
 			return output.print(code, object, text);
 		}
-		Confirmation confirmed = awaitEntries(control, reply.getNumber(), began);
-		object.put("confirmed", confirmed.confirmed()).put("entries", confirmed.entries());
-		object.put("millis", confirmed.millis());
-		String silent = (confirmed.missing().isEmpty()) ? "" : ", not yet: " + confirmed.missing();
+		Confirmation confirmation = awaitEntries(control, reply.getNumber(), startNanos);
+		object.put("confirmed", confirmation.confirmed()).put("entries", confirmation.entries());
+		object.put("millis", confirmation.millis());
+		String missing = (confirmation.missing().isEmpty()) ? "" : ", not yet: " + confirmation.missing();
 		return output.print(code, object,
-				"manifest " + reply.getNumber() + " is in force, confirmed by " + confirmed.confirmed() + " of "
-						+ confirmed.entries() + " entries after " + confirmed.millis() + " ms" + silent + "\n");
+				"manifest " + reply.getNumber() + " is in force, confirmed by " + confirmation.confirmed() + " of "
+						+ confirmation.entries() + " entries after " + confirmation.millis() + " ms" + missing + "\n");
 	}
 
-	private Confirmation awaitEntries(ControlClient control, long number, long began) throws InterruptedException {
-		long deadline = began + TimeUnit.SECONDS.toNanos(this.waitSeconds);
+	private Confirmation awaitEntries(ControlClient control, long number, long startNanos) throws InterruptedException {
+		long deadline = startNanos + TimeUnit.SECONDS.toNanos(this.waitSeconds);
 		while (true) {
 			StatusReply status = control.status();
 			List<EntryStatus> entries = (status.isSetEntries()) ? status.getEntries() : List.of();
@@ -106,11 +106,11 @@
 				.map(EntryStatus::getVm)
 				.collect(Collectors.joining(", "));
 			long confirmed = entries.stream().filter((entry) -> entry.getNumber() >= number).count();
-			long millis = (System.nanoTime() - began) / 1_000_000;
+			long millis = (System.nanoTime() - startNanos) / 1_000_000;
 			if (missing.isEmpty() || System.nanoTime() > deadline) {
 				return new Confirmation(confirmed, entries.size(), millis, missing);
 			}
-			TimeUnit.MILLISECONDS.sleep(ASK_MILLIS);
+			TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MILLIS);
 		}
 	}
 
--- a/daemon/src/main/java/org/acaciacourse/daemon/operator/ControlClient.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/operator/ControlClient.java
@@ -23,14 +23,14 @@
  */
 final class ControlClient implements AutoCloseable {
 
-	private static final Duration LIMIT = Duration.ofSeconds(15);
+	private static final Duration CALL_TIMEOUT = Duration.ofSeconds(15);
 
-	private final LeaderCaller caller;
+	private final LeaderCaller client;
 
 	private final String key;
 
 	ControlClient(List<String> controls, String key) {
-		this.caller = new LeaderCaller(controls);
+		this.client = new LeaderCaller(controls);
 		this.key = key;
 	}
 
@@ -48,7 +48,7 @@
 	ApplyReply apply(ManifestDocument document, String operator) throws InterruptedException {
 		ApplyRequest request = new ApplyRequest(this.key, operator, ManifestCodec.encode(document),
 				new TraceContext(""));
-		return this.caller.call((c) -> c.apply(request), ApplyReply::getResult, LIMIT)
+		return this.client.call((c) -> c.apply(request), ApplyReply::getResult, CALL_TIMEOUT)
 			.orElseGet(() -> new ApplyReply(unreachable(), 0, ""));
 	}
 
@@ -58,7 +58,7 @@
 	 * @throws InterruptedException if the thread is interrupted
 	 */
 	StatusReply status() throws InterruptedException {
-		Optional<StatusReply> reply = this.caller.call((c) -> c.status(this.key), StatusReply::getResult, LIMIT);
+		Optional<StatusReply> reply = this.client.call((c) -> c.status(this.key), StatusReply::getResult, CALL_TIMEOUT);
 		return reply.orElseGet(() -> new StatusReply().setResult(unreachable()));
 	}
 
@@ -72,7 +72,7 @@
 
 	@Override
 	public void close() {
-		this.caller.close();
+		this.client.close();
 	}
 
 }
--- a/daemon/src/main/java/org/acaciacourse/daemon/operator/StatusCommand.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/operator/StatusCommand.java
@@ -28,7 +28,7 @@
 	private OperatorOptions options = new OperatorOptions();
 
 	@Parameter(names = "--audit", description = "How many records of the audit log to show")
-	private int audit = 10;
+	private int maxAuditRecords = 10;
 
 	@Parameter(names = "--json", description = "Print one JSON object")
 	private boolean json;
@@ -106,7 +106,7 @@
 			text.append("entry ").append(entry.getVm()).append(' ').append(entry.getDataCentre());
 			text.append(" manifest ").append(entry.getNumber()).append((entry.isLeaving()) ? " leaving\n" : "\n");
 		}
-		int from = Math.max(0, status.getAuditSize() - this.audit);
+		int from = Math.max(0, status.getAuditSize() - this.maxAuditRecords);
 		for (AuditRecord record : status.getAudit().subList(from, status.getAuditSize())) {
 			text.append("audit ").append(Instant.ofEpochMilli(record.getAt())).append(' ');
 			text.append(record.getOperatorName()).append(" manifest ").append(record.getNumber());
--- a/daemon/src/main/java/org/acaciacourse/daemon/telemetry/AdminServer.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/telemetry/AdminServer.java
@@ -44,8 +44,8 @@
 		this.server = HttpServer.create(address, 0);
 		this.server.setExecutor(this.executor);
 		this.server.createContext("/metrics", new MetricsHandler(registry));
-		this.server.createContext("/health/live", (exchange) -> answer(exchange, 200, "live"));
-		this.server.createContext("/health/ready", this::ready);
+		this.server.createContext("/health/live", (exchange) -> respond(exchange, 200, "live"));
+		this.server.createContext("/health/ready", this::handleReadiness);
 		this.server.start();
 	}
 
@@ -76,12 +76,12 @@
 		return this.server.getAddress().getPort();
 	}
 
-	private void ready(HttpExchange exchange) throws IOException {
-		boolean now = this.ready.getAsBoolean();
-		answer(exchange, (now) ? 200 : 503, (now) ? "ready" : "not-ready");
+	private void handleReadiness(HttpExchange exchange) throws IOException {
+		boolean isReady = this.ready.getAsBoolean();
+		respond(exchange, (isReady) ? 200 : 503, (isReady) ? "ready" : "not-ready");
 	}
 
-	private static void answer(HttpExchange exchange, int status, String state) throws IOException {
+	private static void respond(HttpExchange exchange, int status, String state) throws IOException {
 		byte[] body = ("{\"status\":\"" + state + "\"}").getBytes(StandardCharsets.UTF_8);
 		exchange.getResponseHeaders().set("Content-Type", "application/json");
 		exchange.sendResponseHeaders(status, body.length);
--- a/daemon/src/main/java/org/acaciacourse/daemon/telemetry/ClassResults.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/telemetry/ClassResults.java
@@ -88,11 +88,11 @@
 					this.retries.sum(), this.hedges.sum());
 		}
 
-		void arrived() {
+		void requestArrived() {
 			this.arrived.increment();
 		}
 
-		void answered(boolean targetMet, long tokens) {
+		void responseCompleted(boolean targetMet, long tokens) {
 			this.answered.increment();
 			this.delivered.add(tokens);
 			if (targetMet) {
@@ -100,23 +100,23 @@
 			}
 		}
 
-		void refused() {
+		void requestRefused() {
 			this.refused.increment();
 		}
 
-		void failed() {
+		void requestFailed() {
 			this.failed.increment();
 		}
 
-		void wasted(long tokens) {
+		void tokensWasted(long tokens) {
 			this.wasted.add(tokens);
 		}
 
-		void retry() {
+		void retryStarted() {
 			this.retries.increment();
 		}
 
-		void hedge() {
+		void hedgeStarted() {
 			this.hedges.increment();
 		}
 
--- a/daemon/src/main/java/org/acaciacourse/daemon/telemetry/EntryMetrics.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/telemetry/EntryMetrics.java
@@ -17,27 +17,28 @@
  */
 public final class EntryMetrics {
 
-	private static final double[] SECONDS = { 0.05, 0.1, 0.2, 0.41, 1, 2, 3, 5, 10, 30, 60, 300, 1800, 28800 };
+	private static final double[] BUCKET_BOUNDS_SECONDS = { 0.05, 0.1, 0.2, 0.41, 1, 2, 3, 5, 10, 30, 60, 300, 1800,
+			28800 };
 
 	private final PrometheusRegistry registry = new PrometheusRegistry();
 
 	private final ClassResults results = new ClassResults();
 
-	private final Counter arrived = perPolicy("requests", "requests that arrived");
+	private final Counter arrived = counterPerPolicy("requests", "requests that arrived");
 
-	private final Counter answered = perPolicy("answers", "whole answers");
+	private final Counter answered = counterPerPolicy("answers", "whole answers");
 
-	private final Counter met = perPolicy("target_met", "whole answers that met their target");
+	private final Counter met = counterPerPolicy("target_met", "whole answers that met their target");
 
-	private final Counter delivered = perPolicy("tokens_delivered", "tokens of whole answers");
+	private final Counter delivered = counterPerPolicy("tokens_delivered", "tokens of whole answers");
 
-	private final Counter goodput = perPolicy("tokens_goodput", "tokens of whole answers that met their target");
+	private final Counter goodput = counterPerPolicy("tokens_goodput", "tokens of whole answers that met their target");
 
-	private final Counter wasted = perPolicy("tokens_wasted", "tokens received and thrown away");
+	private final Counter wasted = counterPerPolicy("tokens_wasted", "tokens received and thrown away");
 
-	private final Counter retries = perPolicy("retries", "attempts after one that ended");
+	private final Counter retries = counterPerPolicy("retries", "attempts after one that ended");
 
-	private final Counter hedges = perPolicy("hedges", "attempts beside one that ran");
+	private final Counter hedges = counterPerPolicy("hedges", "attempts beside one that ran");
 
 	private final Counter refusals = Counter.builder()
 		.name("acaciacourse_refusals")
@@ -45,35 +46,35 @@
 		.labelNames("code", "class")
 		.register(this.registry);
 
-	private final Counter discarded = Counter.builder()
+	private final Counter discardedResponses = Counter.builder()
 		.name("acaciacourse_answers_discarded")
 		.help("answers that belonged to another attempt")
 		.register(this.registry);
 
-	private final Counter pauses = Counter.builder()
+	private final Counter readPauses = Counter.builder()
 		.name("acaciacourse_reads_paused")
 		.help("times that an endpoint was not read on, as its caller was slow")
 		.register(this.registry);
 
-	private final Gauge queued = perClass("queued", "requests that wait for an endpoint");
+	private final Gauge queued = gaugePerClass("queued", "requests that wait for an endpoint");
 
-	private final Gauge inFlight = perClass("in_flight", "requests that an endpoint runs");
+	private final Gauge inFlight = gaugePerClass("in_flight", "requests that an endpoint runs");
 
-	private final Gauge configuration = Gauge.builder()
+	private final Gauge configurationNumber = Gauge.builder()
 		.name("acaciacourse_configuration_number")
 		.help("number of the manifest in force")
 		.register(this.registry);
 
-	private final Histogram firstToken = seconds("first_token_seconds", "time to the first token");
+	private final Histogram firstTokenSeconds = histogramPerClass("first_token_seconds", "time to the first token");
 
-	private final Histogram wholeAnswer = seconds("answer_seconds", "time to the end of the answer");
+	private final Histogram responseSeconds = histogramPerClass("answer_seconds", "time to the end of the answer");
 
 	public EntryMetrics(IntSupplier connections) {
 		Gauges.register(this.registry, "acaciacourse_caller_connections", "open connections of callers",
 				connections::getAsInt);
 	}
 
-	private Counter perPolicy(String name, String help) {
+	private Counter counterPerPolicy(String name, String help) {
 		return Counter.builder()
 			.name("acaciacourse_" + name)
 			.help(help)
@@ -81,17 +82,17 @@
 			.register(this.registry);
 	}
 
-	private Gauge perClass(String name, String help) {
+	private Gauge gaugePerClass(String name, String help) {
 		return Gauge.builder().name("acaciacourse_" + name).help(help).labelNames("class").register(this.registry);
 	}
 
-	private Histogram seconds(String name, String help) {
+	private Histogram histogramPerClass(String name, String help) {
 		return Histogram.builder()
 			.name("acaciacourse_" + name)
 			.help(help)
 			.labelNames("class")
 			.classicOnly()
-			.classicUpperBounds(SECONDS)
+			.classicUpperBounds(BUCKET_BOUNDS_SECONDS)
 			.register(this.registry);
 	}
 
@@ -116,17 +117,17 @@
 	 * @param number its number
 	 */
 	public void configuration(long number) {
-		this.configuration.set(number);
+		this.configurationNumber.set(number);
 	}
 
 	/** An endpoint is not read on, as its caller is slow. */
 	public void readPaused() {
-		this.pauses.inc();
+		this.readPauses.inc();
 	}
 
 	/** An answer under another attempt's id was discarded. */
 	public void answerDiscarded() {
-		this.discarded.inc();
+		this.discardedResponses.inc();
 	}
 
 	/**
@@ -149,7 +150,7 @@
 		RequestMeter meter = new RequestMeter(requestClass, policy, epoch);
 		this.arrived.labelValues(requestClass, policy).inc();
 		this.queued.labelValues(requestClass).inc();
-		meter.tally.arrived();
+		meter.tally.requestArrived();
 		return meter;
 	}
 
@@ -182,11 +183,11 @@
 		public void attemptBegins() {
 			if (this.running > 0) {
 				EntryMetrics.this.hedges.labelValues(this.requestClass, this.policy).inc();
-				this.tally.hedge();
+				this.tally.hedgeStarted();
 			}
 			else if (this.attempts > 0) {
 				EntryMetrics.this.retries.labelValues(this.requestClass, this.policy).inc();
-				this.tally.retry();
+				this.tally.retryStarted();
 			}
 			if (this.running == 0) {
 				move(EntryMetrics.this.queued, EntryMetrics.this.inFlight);
@@ -213,7 +214,7 @@
 		 * @param time the time since arrival
 		 */
 		public void firstToken(Duration time) {
-			EntryMetrics.this.firstToken.labelValues(this.requestClass).observe(time.toNanos() / 1e9);
+			EntryMetrics.this.firstTokenSeconds.labelValues(this.requestClass).observe(time.toNanos() / 1e9);
 		}
 
 		/**
@@ -226,12 +227,12 @@
 			end();
 			EntryMetrics.this.answered.labelValues(this.requestClass, this.policy).inc();
 			EntryMetrics.this.delivered.labelValues(this.requestClass, this.policy).inc(tokens);
-			EntryMetrics.this.wholeAnswer.labelValues(this.requestClass).observe(time.toNanos() / 1e9);
+			EntryMetrics.this.responseSeconds.labelValues(this.requestClass).observe(time.toNanos() / 1e9);
 			if (targetMet) {
 				EntryMetrics.this.met.labelValues(this.requestClass, this.policy).inc();
 				EntryMetrics.this.goodput.labelValues(this.requestClass, this.policy).inc(tokens);
 			}
-			this.tally.answered(targetMet, tokens);
+			this.tally.responseCompleted(targetMet, tokens);
 		}
 
 		/**
@@ -242,10 +243,10 @@
 			end();
 			EntryMetrics.this.refused(code, this.requestClass);
 			if (this.attempts == 0) {
-				this.tally.refused();
+				this.tally.requestRefused();
 			}
 			else {
-				this.tally.failed();
+				this.tally.requestFailed();
 			}
 		}
 
@@ -256,7 +257,7 @@
 		public void wasted(long tokens) {
 			if (tokens > 0) {
 				EntryMetrics.this.wasted.labelValues(this.requestClass, this.policy).inc(tokens);
-				this.tally.wasted(tokens);
+				this.tally.tokensWasted(tokens);
 			}
 		}
 
--- a/daemon/src/main/java/org/acaciacourse/daemon/telemetry/JsonLines.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/telemetry/JsonLines.java
@@ -24,17 +24,17 @@
  * <p>
  * Not thread safe: belongs to the thread that writes the log.
  */
-final class JsonLines implements Consumer<LogLine> {
+final class JsonLines implements Consumer<QueuedLogLine> {
 
 	private static final DateTimeFormatter TIME = new DateTimeFormatterBuilder().appendInstant(3)
 		.toFormatter(Locale.ROOT);
 
 	/** Characters of a text; keeps a single line within some tens of kilobytes. */
-	private static final int MAX_TEXT = 16_384;
+	private static final int MAX_TEXT_CHARS = 16_384;
 
 	private final JsonFactory factory = new JsonFactory();
 
-	private final ByteArrayOutputStream line = new ByteArrayOutputStream(1_024);
+	private final ByteArrayOutputStream buffer = new ByteArrayOutputStream(1_024);
 
 	private final OutputStream target;
 
@@ -52,57 +52,57 @@
 
 	/**
 	 * Write a line.
-	 * @param told the line
+	 * @param line the line
 	 * @throws UncheckedIOException if the target takes no more
 	 */
 	@Override
-	public void accept(LogLine told) {
+	public void accept(QueuedLogLine line) {
 		try {
-			this.line.reset();
-			try (JsonGenerator json = this.factory.createGenerator(this.line)) {
-				write(json, told);
+			this.buffer.reset();
+			try (JsonGenerator json = this.factory.createGenerator(this.buffer)) {
+				write(json, line);
 			}
-			this.line.write('\n');
-			this.line.writeTo(this.target);
+			this.buffer.write('\n');
+			this.buffer.writeTo(this.target);
 		}
 		catch (IOException ex) {
 			throw new UncheckedIOException(ex);
 		}
 	}
 
-	private void write(JsonGenerator json, LogLine told) throws IOException {
+	private void write(JsonGenerator json, QueuedLogLine line) throws IOException {
 		json.writeStartObject();
-		json.writeStringField("time", TIME.format(Instant.ofEpochMilli(told.at())));
+		json.writeStringField("time", TIME.format(Instant.ofEpochMilli(line.at())));
 		json.writeStringField("vm", this.vm);
-		json.writeStringField("level", told.level().name());
-		json.writeStringField("logger", told.logger());
+		json.writeStringField("level", line.level().name());
+		json.writeStringField("logger", line.logger());
 		json.writeFieldName("message");
-		if (told.message() instanceof ObjectMessage structured) {
-			value(json, structured.getParameter());
+		if (line.message() instanceof ObjectMessage structured) {
+			writeValue(json, structured.getParameter());
 		}
 		else {
-			text(json, told.message().getFormattedMessage());
+			writeText(json, line.message().getFormattedMessage());
 		}
-		if (told.thrown().isPresent()) {
+		if (line.thrown().isPresent()) {
 			json.writeFieldName("error");
-			text(json, stackTrace(told.thrown().get()));
+			writeText(json, stackTrace(line.thrown().get()));
 		}
 		json.writeEndObject();
 	}
 
-	private static void value(JsonGenerator json, Object value) throws IOException {
+	private static void writeValue(JsonGenerator json, Object value) throws IOException {
 		if (value instanceof Map<?, ?> fields) {
 			json.writeStartObject();
 			for (Map.Entry<?, ?> field : fields.entrySet()) {
 				json.writeFieldName(String.valueOf(field.getKey()));
-				value(json, field.getValue());
+				writeValue(json, field.getValue());
 			}
 			json.writeEndObject();
 		}
 		else if (value instanceof Iterable<?> items) {
 			json.writeStartArray();
 			for (Object item : items) {
-				value(json, item);
+				writeValue(json, item);
 			}
 			json.writeEndArray();
 		}
@@ -110,12 +110,12 @@
 			json.writeObject(value);
 		}
 		else {
-			text(json, value.toString());
+			writeText(json, value.toString());
 		}
 	}
 
-	private static void text(JsonGenerator json, String text) throws IOException {
-		json.writeString((text.length() > MAX_TEXT) ? text.substring(0, MAX_TEXT) + "…" : text);
+	private static void writeText(JsonGenerator json, String text) throws IOException {
+		json.writeString((text.length() > MAX_TEXT_CHARS) ? text.substring(0, MAX_TEXT_CHARS) + "…" : text);
 	}
 
 	private static String stackTrace(Throwable thrown) {
--- a/daemon/src/main/java/org/acaciacourse/daemon/telemetry/LogQueue.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/telemetry/LogQueue.java
@@ -32,28 +32,29 @@
 	private static final long FLUSH_MILLIS = 50;
 
 	/** What making the output and writing what waits takes at an early end. */
-	private static final long LATE_FLUSH_MILLIS = 1_000;
+	private static final long FIRST_FLUSH_MILLIS = 1_000;
 
 	/** Wakes the thread that writes, which ends. */
-	private static final LogLine END = new LogLine(0, Level.OFF, "", new SimpleMessage(""), Optional.empty());
+	private static final QueuedLogLine END = new QueuedLogLine(0, Level.OFF, "", new SimpleMessage(""),
+			Optional.empty());
 
-	private final MpscBlockingConsumerArrayQueue<LogLine> ring = new MpscBlockingConsumerArrayQueue<>(CAPACITY);
+	private final MpscBlockingConsumerArrayQueue<QueuedLogLine> ring = new MpscBlockingConsumerArrayQueue<>(CAPACITY);
 
 	private final AtomicLong dropped = new AtomicLong();
 
-	private final CountDownLatch hurried = new CountDownLatch(1);
+	private final CountDownLatch outputDue = new CountDownLatch(1);
 
-	private final Supplier<Consumer<LogLine>> target;
+	private final Supplier<Consumer<QueuedLogLine>> outputFactory;
 
 	private final long delayMillis;
 
 	private final Thread writer = new Thread(this::write, "log");
 
-	private volatile boolean writing;
+	private volatile boolean outputCreated;
 
-	private long told;
+	private long reportedDropped;
 
-	LogQueue(Consumer<LogLine> target) {
+	LogQueue(Consumer<QueuedLogLine> target) {
 		this(() -> target, 0);
 	}
 
@@ -62,8 +63,8 @@
 	 * @param target makes the output
 	 * @param delayMillis how long after the start it is made, unless the ring gets full
 	 */
-	LogQueue(Supplier<Consumer<LogLine>> target, long delayMillis) {
-		this.target = target;
+	LogQueue(Supplier<Consumer<QueuedLogLine>> target, long delayMillis) {
+		this.outputFactory = target;
 		this.delayMillis = delayMillis;
 	}
 
@@ -85,10 +86,10 @@
 	 * Write a line, or drop it.
 	 * @param line the line
 	 */
-	void append(LogLine line) {
+	void append(QueuedLogLine line) {
 		if (!this.ring.offer(line)) {
 			this.dropped.incrementAndGet();
-			this.hurried.countDown();
+			this.outputDue.countDown();
 		}
 	}
 
@@ -102,12 +103,12 @@
 
 	private void write() {
 		try {
-			this.hurried.await(this.delayMillis, TimeUnit.MILLISECONDS);
-			Consumer<LogLine> output = this.target.get();
-			this.writing = true;
-			for (LogLine line = this.ring.take(); line != END; line = this.ring.take()) {
+			this.outputDue.await(this.delayMillis, TimeUnit.MILLISECONDS);
+			Consumer<QueuedLogLine> output = this.outputFactory.get();
+			this.outputCreated = true;
+			for (QueuedLogLine line = this.ring.take(); line != END; line = this.ring.take()) {
 				if (write(output, line)) {
-					tellDropped();
+					reportDropped();
 				}
 			}
 		}
@@ -118,7 +119,7 @@
 
 	// Whoever reads the output may be gone, and come back. Lines that are lost are told
 	// after the next one that could be written.
-	private boolean write(Consumer<LogLine> output, LogLine line) {
+	private boolean write(Consumer<QueuedLogLine> output, QueuedLogLine line) {
 		try {
 			output.accept(line);
 			return true;
@@ -129,22 +130,22 @@
 		}
 	}
 
-	private void tellDropped() {
-		long now = this.dropped.get();
-		if (now != this.told && this.ring.size() < CAPACITY / 2) {
-			DecisionLog.write(LogEvent.LINES_DROPPED, now - this.told);
-			this.told = now;
+	private void reportDropped() {
+		long total = this.dropped.get();
+		if (total != this.reportedDropped && this.ring.size() < CAPACITY / 2) {
+			DecisionLog.write(LogEvent.LINES_DROPPED, total - this.reportedDropped);
+			this.reportedDropped = total;
 		}
 	}
 
 	/** Write what waits, as far as it can be written soon, and end. */
 	public void flush() {
-		this.hurried.countDown();
+		this.outputDue.countDown();
 		// A full ring has no place for the end, and a writer that has not got through
 		// it by then is given up in any case.
 		this.ring.offer(END);
 		try {
-			this.writer.join((this.writing) ? FLUSH_MILLIS : LATE_FLUSH_MILLIS);
+			this.writer.join((this.outputCreated) ? FLUSH_MILLIS : FIRST_FLUSH_MILLIS);
 		}
 		catch (InterruptedException ex) {
 			Thread.currentThread().interrupt();
--- a/daemon/src/main/java/org/acaciacourse/daemon/telemetry/QueuedLog.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/telemetry/QueuedLog.java
@@ -85,7 +85,7 @@
 
 	@Override
 	public ExtendedLogger getLogger(String name) {
-		return this.loggers.computeIfAbsent(name, (made) -> new QueuedLogger(made, this.queue));
+		return this.loggers.computeIfAbsent(name, (loggerName) -> new QueuedLogger(loggerName, this.queue));
 	}
 
 	// All messages are text or fields that are kept as they are: one way to make them
--- a/daemon/src/main/java/org/acaciacourse/daemon/telemetry/LogLine.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/telemetry/QueuedLogLine.java
@@ -19,8 +19,8 @@
  * @param message the text, or the fields of a structured line
  * @param thrown the exception that is told
  */
-record LogLine(long at, Level level, String logger, Message message, Optional<Throwable> thrown) {
-	LogLine {
+record QueuedLogLine(long at, Level level, String logger, Message message, Optional<Throwable> thrown) {
+	QueuedLogLine {
 		message = (message instanceof ObjectMessage) ? message : new SimpleMessage(message.getFormattedMessage());
 	}
 }
--- a/daemon/src/main/java/org/acaciacourse/daemon/telemetry/QueuedLogger.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/telemetry/QueuedLogger.java
@@ -47,8 +47,8 @@
 
 	@Override
 	public void logMessage(String caller, Level level, Marker marker, Message message, Throwable thrown) {
-		this.queue
-			.append(new LogLine(System.currentTimeMillis(), level, getName(), message, Optional.ofNullable(thrown)));
+		this.queue.append(
+				new QueuedLogLine(System.currentTimeMillis(), level, getName(), message, Optional.ofNullable(thrown)));
 	}
 
 }
--- a/daemon/src/test/java/org/acaciacourse/daemon/explain/ExplainCommandTests.java
+++ b/daemon/src/test/java/org/acaciacourse/daemon/explain/ExplainCommandTests.java
@@ -33,7 +33,7 @@
 		Explanation explanation = new Explanation(id);
 		for (Path log : logs) {
 			try {
-				Files.readAllLines(log).forEach(explanation::take);
+				Files.readAllLines(log).forEach(explanation::add);
 			}
 			catch (IOException ex) {
 				throw new IllegalStateException(ex);
@@ -45,7 +45,7 @@
 	// The caller sees 502. Its request went to one endpoint, which broke off; the entry
 	// had lost control two seconds before and did not know that the endpoint was leaving.
 	@Test
-	void pathOfARequestWithWhatItsVmBelieved() throws IOException {
+	void pathOfARequestWithTheStateOfItsVm() throws IOException {
 		Path entry = log("entry.log", "lines of another program",
 				line("01.000", "entry-1", "{\"event\":\"configuration\",\"table\":7,\"pools\":2}"),
 				line("02.000", "entry-1", "{\"event\":\"fleet\",\"fleet\":\"ab\",\"endpoints\":3}"),
--- a/daemon/src/test/java/org/acaciacourse/daemon/operator/ClassComparisonTests.java
+++ b/daemon/src/test/java/org/acaciacourse/daemon/operator/ClassComparisonTests.java
@@ -25,7 +25,7 @@
 		}
 
 		@Test
-		void saysNothingOfAnEmptySample() {
+		void coversAllValuesForAnEmptySample() {
 			assertThat(WilsonInterval.of(0, 0)).isEqualTo(new WilsonInterval(0, 1));
 		}
 
--- a/daemon/src/test/java/org/acaciacourse/daemon/operator/CommandTests.java
+++ b/daemon/src/test/java/org/acaciacourse/daemon/operator/CommandTests.java
@@ -53,7 +53,7 @@
 	class Check {
 
 		@Test
-		void tellsEveryProblemWithItsLine() throws Exception {
+		void reportsEveryProblemWithItsLine() throws Exception {
 			Path bad = file(MANIFEST.replace("number = 3", "number = x").replace("policy = tiered", "policy = lost"));
 			Printed printed = run(List.of("check", bad.toString(), "--json"));
 			assertThat(printed.code()).isEqualTo(ResultCode.INVALID_MANIFEST);
@@ -61,7 +61,7 @@
 		}
 
 		@Test
-		void acceptsAGoodManifestAndTellsAnUnreadableFile() throws Exception {
+		void acceptsAValidManifestAndReportsAnUnreadableFile() throws Exception {
 			assertThat(run(List.of("check", file(MANIFEST).toString(), "--json")).code()).isEqualTo(ResultCode.OK);
 			assertThat(run(List.of("check", missing(), "--json")).code()).isEqualTo(ResultCode.FILE_UNREADABLE);
 		}
--- a/daemon/src/test/java/org/acaciacourse/daemon/telemetry/JsonLinesTests.java
+++ b/daemon/src/test/java/org/acaciacourse/daemon/telemetry/JsonLinesTests.java
@@ -28,7 +28,7 @@
 	private final JsonLines lines = new JsonLines(this.written, "entry-1");
 
 	private String text(Message message, Optional<Throwable> thrown) {
-		this.lines.accept(new LogLine(AT, Level.INFO, "org.acaciacourse.Any", message, thrown));
+		this.lines.accept(new QueuedLogLine(AT, Level.INFO, "org.acaciacourse.Any", message, thrown));
 		return this.written.toString(StandardCharsets.UTF_8);
 	}
 
@@ -86,19 +86,19 @@
 
 		@Test
 		void longTextIsCut() throws Exception {
-			String told = read(new SimpleMessage("x".repeat(100_000)), Optional.empty()).path("message").asText();
-			assertThat(told).isEqualTo("x".repeat(16_384) + "…");
+			String text = read(new SimpleMessage("x".repeat(100_000)), Optional.empty()).path("message").asText();
+			assertThat(text).isEqualTo("x".repeat(16_384) + "…");
 		}
 
 		@Test
-		void exceptionIsToldWithItsStackTrace() throws Exception {
+		void exceptionIsWrittenWithItsStackTrace() throws Exception {
 			JsonNode line = read(new SimpleMessage("poll failed"), Optional.of(new IllegalStateException("no quorum")));
 			assertThat(line.path("error").asText()).startsWith("java.lang.IllegalStateException: no quorum");
 			assertThat(line.path("error").asText()).contains("\tat ");
 		}
 
 		@Test
-		void eachLineIsWhole() {
+		void eachLineIsTerminated() {
 			text(new SimpleMessage("first"), Optional.empty());
 			assertThat(text(new SimpleMessage("second"), Optional.empty()).lines().count()).isEqualTo(2);
 		}
--- a/daemon/src/test/java/org/acaciacourse/daemon/telemetry/LogQueueTests.java
+++ b/daemon/src/test/java/org/acaciacourse/daemon/telemetry/LogQueueTests.java
@@ -23,11 +23,11 @@
 	// Whoever logs goes on at once all the same; what does not fit is counted, and what
 	// fitted is written in its order once there is a reader again.
 	@Test
-	void stalledOutputHoldsNobodyUp() throws Exception {
+	void stalledOutputDoesNotBlockLogging() throws Exception {
 		CountDownLatch stalled = new CountDownLatch(1);
 		CountDownLatch goOn = new CountDownLatch(1);
 		List<String> written = new CopyOnWriteArrayList<>();
-		Consumer<LogLine> output = (line) -> {
+		Consumer<QueuedLogLine> output = (line) -> {
 			stalled.countDown();
 			try {
 				goOn.await();
@@ -60,7 +60,7 @@
 	 * that writes must outlive that: else a process would be silent for good after it.
 	 */
 	@Test
-	void failedWriteCostsItsLineOnly() throws Exception {
+	void failedWriteLosesOnlyItsLine() throws Exception {
 		BlockingQueue<String> written = new LinkedBlockingQueue<>();
 		LogQueue queue = new LogQueue((line) -> {
 			String text = line.message().getFormattedMessage();
@@ -91,8 +91,9 @@
 		assertThat(written).containsExactly("1", "2").inOrder();
 	}
 
-	private static LogLine line(int number) {
-		return new LogLine(0, Level.INFO, "logger", new SimpleMessage(Integer.toString(number)), Optional.empty());
+	private static QueuedLogLine line(int number) {
+		return new QueuedLogLine(0, Level.INFO, "logger", new SimpleMessage(Integer.toString(number)),
+				Optional.empty());
 	}
 
 }
--- a/daemon/src/test/java/org/acaciacourse/daemon/telemetry/QueuedLoggerTests.java
+++ b/daemon/src/test/java/org/acaciacourse/daemon/telemetry/QueuedLoggerTests.java
@@ -57,8 +57,8 @@
 			logger.info(new ObjectMessage(Map.of("event", "fleet")));
 			long after = System.currentTimeMillis();
 			served.countDown();
-			LogLine first = QueuedLoggerTests.this.output.next();
-			LogLine second = QueuedLoggerTests.this.output.next();
+			QueuedLogLine first = QueuedLoggerTests.this.output.next();
+			QueuedLogLine second = QueuedLoggerTests.this.output.next();
 			assertThat(first.message().getFormattedMessage()).isEqualTo("started at here");
 			assertThat(first.logger()).isEqualTo("org.acaciacourse.Daemon");
 			assertThat(first.level()).isEqualTo(Level.INFO);
@@ -72,7 +72,7 @@
 		 * stands in its last lines, which are written at once then.
 		 */
 		@Test
-		void endOfTheProcessWritesWhatWaits() throws Exception {
+		void flushCreatesTheOutputAndWritesQueuedLines() throws Exception {
 			LogQueue queue = new LogQueue(() -> QueuedLoggerTests.this.output, NEVER_MILLIS);
 			queue.start();
 			logger("org.acaciacourse.Daemon", queue).error("address in use");
@@ -86,7 +86,7 @@
 		 * and tells how many lines were dropped.
 		 */
 		@Test
-		void fullQueueMakesTheOutputAtOnce() throws Exception {
+		void fullQueueCreatesTheOutputAtOnce() throws Exception {
 			LogQueue queue = new LogQueue(() -> QueuedLoggerTests.this.output, NEVER_MILLIS);
 			queue.start();
 			QueuedLogger logger = logger("org.acaciacourse.Daemon", queue);
@@ -102,7 +102,7 @@
 	class Levels {
 
 		@Test
-		void ownDecisionsAreToldAndOfLibrariesWhatTheyCannotBear() throws Exception {
+		void levelDependsOnTheLoggerName() throws Exception {
 			LogQueue queue = new LogQueue(() -> QueuedLoggerTests.this.output, 0);
 			queue.start();
 			logger("org.acaciacourse.core.Any", queue).debug("a detail");
@@ -110,25 +110,25 @@
 			logger("io.netty.Any", queue).info("chatter");
 			logger("io.netty.Any", queue).warn("a warning");
 			logger("org.acaciacourse", queue).info("a decision");
-			List<String> told = new ArrayList<>();
-			told.add(QueuedLoggerTests.this.output.next().message().getFormattedMessage());
-			told.add(QueuedLoggerTests.this.output.next().message().getFormattedMessage());
-			assertThat(told).containsExactly("a warning", "a decision").inOrder();
+			List<String> messages = new ArrayList<>();
+			messages.add(QueuedLoggerTests.this.output.next().message().getFormattedMessage());
+			messages.add(QueuedLoggerTests.this.output.next().message().getFormattedMessage());
+			assertThat(messages).containsExactly("a warning", "a decision").inOrder();
 		}
 
 	}
 
 	/** Keeps what is written. */
-	private static final class Output implements Consumer<LogLine> {
+	private static final class Output implements Consumer<QueuedLogLine> {
 
-		private final BlockingQueue<LogLine> written = new LinkedBlockingQueue<>();
+		private final BlockingQueue<QueuedLogLine> written = new LinkedBlockingQueue<>();
 
 		@Override
-		public void accept(LogLine line) {
+		public void accept(QueuedLogLine line) {
 			this.written.add(line);
 		}
 
-		LogLine next() throws InterruptedException {
+		QueuedLogLine next() throws InterruptedException {
 			return this.written.take();
 		}
 
