--- a/daemon/src/main/java/org/acaciacourse/daemon/telemetry/AdminServer.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/telemetry/AdminServer.java
@@ -17,8 +17,8 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Health and metrics of a daemon on an address of their own, so that they answer while
- * callers' connections are at their bound.
+ * Serves health and metrics of a daemon on a separate address, so that they remain
+ * available while the number of caller connections is at its limit.
  * <p>
  * Thread safe.
  */
@@ -50,12 +50,12 @@
 	}
 
 	/**
-	 * Open a server, or go on without one: a VM that can't show its metrics serves all
-	 * the same.
+	 * Open a server, or continue without one: a VM that cannot expose its metrics still
+	 * serves requests.
 	 * @param address the address
 	 * @param registry the metrics
-	 * @param ready tells whether the daemon is ready
-	 * @return the server, if the address can be used
+	 * @param ready returns whether the daemon is ready
+	 * @return the server, empty if the address cannot be bound
 	 */
 	public static Optional<AdminServer> open(InetSocketAddress address, PrometheusRegistry registry,
 			BooleanSupplier ready) {
--- a/daemon/src/main/java/org/acaciacourse/daemon/telemetry/ClassResults.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/telemetry/ClassResults.java
@@ -9,9 +9,9 @@
 import org.acaciacourse.protocol.generated.ClassReport;
 
 /**
- * Results per policy epoch and class, as control collects them for a comparison of
- * policies. An epoch begins with the manifest that takes a policy into force. Old epochs
- * are dropped, so that any number of changes costs bounded memory.
+ * Results per policy epoch and class, which the control VMs collect to compare policies.
+ * An epoch begins with the manifest that activates a policy. Only the latest epochs are
+ * kept, so that memory stays bounded whatever the number of policy changes.
  * <p>
  * Thread safe.
  */
@@ -22,11 +22,11 @@
 	private final Map<Key, Tally> tallies = new ConcurrentHashMap<>();
 
 	/**
-	 * Return the tally of a class under a policy.
+	 * Return the counters of a class under a policy.
 	 * @param policy the name of the policy
-	 * @param epoch the number of the manifest that took it into force
+	 * @param epoch the number of the manifest that activated it
 	 * @param requestClass the name of the class
-	 * @return the tally to add to
+	 * @return the counters to increment
 	 */
 	public Tally tally(String policy, long epoch, String requestClass) {
 		Key key = new Key(policy, epoch, requestClass);
--- a/daemon/src/main/java/org/acaciacourse/daemon/telemetry/DecisionLog.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/telemetry/DecisionLog.java
@@ -8,9 +8,9 @@
 import org.apache.logging.log4j.message.ObjectMessage;
 
 /**
- * The decision log: a structured line for each decision that touches a request or changes
- * what the process believes. The appender behind it never blocks; what does not fit into
- * its queue is dropped.
+ * The decision log: a structured line for each decision that affects a request or changes
+ * the process's view of the system. The appender never blocks; lines that do not fit into
+ * its queue are dropped.
  * <p>
  * Thread safe: it has no state.
  */
@@ -25,7 +25,7 @@
 	 * Write a line.
 	 * @param event the event
 	 * @param values a value for each field of the event, in their order; {@code null} for
-	 * one that is not known
+	 * an unknown value, whose field is left out
 	 */
 	public static void write(LogEvent event, Object... values) {
 		if (!logger.isInfoEnabled()) {
--- a/daemon/src/main/java/org/acaciacourse/daemon/telemetry/EntryMetrics.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/telemetry/EntryMetrics.java
@@ -10,8 +10,8 @@
 import org.acaciacourse.core.code.ResultCode;
 
 /**
- * The metrics of an entry VM. Nothing here is called for each token; an answer adds its
- * tokens at its end.
+ * The metrics of an entry VM. No method is called per token; the tokens of a response are
+ * added when it ends.
  * <p>
  * Thread safe.
  */
@@ -113,38 +113,38 @@
 	}
 
 	/**
-	 * A newer configuration is in force.
+	 * Record that a newer configuration is active.
 	 * @param number its number
 	 */
 	public void configuration(long number) {
 		this.configurationNumber.set(number);
 	}
 
-	/** An endpoint is not read on, as its caller is slow. */
+	/** Record that reading from an endpoint was paused because its caller is slow. */
 	public void readPaused() {
 		this.readPauses.inc();
 	}
 
-	/** An answer under another attempt's id was discarded. */
+	/** Record that a response was discarded because it carried another attempt's id. */
 	public void answerDiscarded() {
 		this.discardedResponses.inc();
 	}
 
 	/**
-	 * A request got no whole answer.
+	 * Record a request that got no complete response.
 	 * @param code the reason
-	 * @param requestClass the name of its class, empty if it was not known yet
+	 * @param requestClass the name of its class, empty if it is not known yet
 	 */
 	public void refused(ResultCode code, String requestClass) {
 		this.refusals.labelValues(Integer.toString(code.number()), requestClass).inc();
 	}
 
 	/**
-	 * Begin to count a request.
+	 * Record the arrival of a request.
 	 * @param requestClass the name of its class
-	 * @param policy the policy in force
-	 * @param epoch the number of the manifest that took the policy into force
-	 * @return counts what becomes of the request
+	 * @param policy the active policy
+	 * @param epoch the number of the manifest that activated the policy
+	 * @return the meter that counts the further events of the request
 	 */
 	public RequestMeter meter(String requestClass, String policy, long epoch) {
 		RequestMeter meter = new RequestMeter(requestClass, policy, epoch);
@@ -155,7 +155,7 @@
 	}
 
 	/**
-	 * Counts what becomes of one request.
+	 * Counts the attempts and the outcome of one request.
 	 * <p>
 	 * Not thread safe: belongs to the thread that owns the request.
 	 */
@@ -179,7 +179,10 @@
 			this.tally = EntryMetrics.this.results.tally(policy, epoch, requestClass);
 		}
 
-		/** An attempt begins. */
+		/**
+		 * Record that an attempt has started: a hedge if another one is running,
+		 * otherwise a retry unless it is the first.
+		 */
 		public void attemptBegins() {
 			if (this.running > 0) {
 				EntryMetrics.this.hedges.labelValues(this.requestClass, this.policy).inc();
@@ -196,7 +199,7 @@
 			this.attempts++;
 		}
 
-		/** An attempt ended. */
+		/** Record that an attempt has ended. */
 		public void attemptEnds() {
 			this.running--;
 			if (this.running == 0 && !this.ended) {
@@ -210,7 +213,7 @@
 		}
 
 		/**
-		 * The first token was passed on.
+		 * Record that the first token was forwarded.
 		 * @param time the time since arrival
 		 */
 		public void firstToken(Duration time) {
@@ -218,10 +221,10 @@
 		}
 
 		/**
-		 * The whole answer was passed on.
+		 * Record that the complete response was forwarded.
 		 * @param time the time since arrival
 		 * @param targetMet whether the target of the class was met
-		 * @param tokens the tokens of the answer
+		 * @param tokens the number of tokens in the response
 		 */
 		public void answered(Duration time, boolean targetMet, long tokens) {
 			end();
@@ -236,7 +239,8 @@
 		}
 
 		/**
-		 * The request got no whole answer.
+		 * Record that the request got no complete response. It counts as refused if no
+		 * attempt was started, otherwise as failed.
 		 * @param code the reason
 		 */
 		public void failed(ResultCode code) {
@@ -251,8 +255,8 @@
 		}
 
 		/**
-		 * Tokens were received and thrown away.
-		 * @param tokens how many
+		 * Record tokens that were received and discarded.
+		 * @param tokens the number of tokens
 		 */
 		public void wasted(long tokens) {
 			if (tokens > 0) {
--- a/daemon/src/main/java/org/acaciacourse/daemon/telemetry/Gauges.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/telemetry/Gauges.java
@@ -6,7 +6,7 @@
 import io.prometheus.metrics.model.registry.PrometheusRegistry;
 
 /**
- * Gauges whose value is asked for when they are read.
+ * Registers gauges whose value is computed when the metrics are read.
  * <p>
  * Thread safe: it has no state.
  */
@@ -19,8 +19,8 @@
 	 * Register a gauge without labels.
 	 * @param registry the registry
 	 * @param name the name
-	 * @param help what it shows
-	 * @param value gives the value, on the thread of whoever reads the metrics
+	 * @param help the help text
+	 * @param value supplies the value, on the thread that reads the metrics
 	 */
 	public static void register(PrometheusRegistry registry, String name, String help, DoubleSupplier value) {
 		GaugeWithCallback.builder()
--- a/daemon/src/main/java/org/acaciacourse/daemon/telemetry/JsonLines.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/telemetry/JsonLines.java
@@ -18,18 +18,18 @@
 import org.apache.logging.log4j.message.ObjectMessage;
 
 /**
- * Writes each line of the log as a JSON object in one write. Log4j's core with its JSON
- * layout writes the same, but to start it takes a fifth of the processor time of an
- * entry's start.
+ * Writes each log line as a JSON object in a single write. Log4j Core with its JSON
+ * layout produces the same output, but its initialization takes a fifth of the CPU time
+ * of an entry VM's startup.
  * <p>
- * Not thread safe: belongs to the thread that writes the log.
+ * Not thread safe: confined to the thread that writes the log.
  */
 final class JsonLines implements Consumer<QueuedLogLine> {
 
 	private static final DateTimeFormatter TIME = new DateTimeFormatterBuilder().appendInstant(3)
 		.toFormatter(Locale.ROOT);
 
-	/** Characters of a text; keeps a single line within some tens of kilobytes. */
+	/** The maximum length of a text; limits a line to some tens of kilobytes. */
 	private static final int MAX_TEXT_CHARS = 16_384;
 
 	private final JsonFactory factory = new JsonFactory();
@@ -41,8 +41,8 @@
 	private final String vm;
 
 	/**
-	 * Make a writer.
-	 * @param target what the lines are written to
+	 * Create a writer.
+	 * @param target the stream to write to
 	 * @param vm the name of the VM, a field of each line
 	 */
 	JsonLines(OutputStream target, String vm) {
@@ -53,7 +53,7 @@
 	/**
 	 * Write a line.
 	 * @param line the line
-	 * @throws UncheckedIOException if the target takes no more
+	 * @throws UncheckedIOException if writing to the target fails
 	 */
 	@Override
 	public void accept(QueuedLogLine line) {
--- a/daemon/src/main/java/org/acaciacourse/daemon/telemetry/LogEvent.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/telemetry/LogEvent.java
@@ -3,85 +3,95 @@
 import java.util.List;
 
 /**
- * The events of the decision log with the fields of their lines, in their order. The
- * table in {@code docs/OPERATIONS.md} lists the same; a test holds the two together.
+ * The events of the decision log with the fields of their lines, in the order in which
+ * they are written. A test checks that the table in {@code docs/OPERATIONS.md} lists the
+ * same events and fields.
  * <p>
  * Immutable and thread safe.
  */
 public enum LogEvent {
 
-	/** A routed request ended otherwise than with a whole answer in time. */
+	/** A routed request ended without a complete response in time. */
 	REQUEST_FAILED("request-failed", "request", "code", "why", "run", "route", "pool", "customer", "urgency", "table",
 			"fleet", "waited_ms", "took_ms", "left_ms", "attempts", "retry_after_ms", "sent_urgency", "ahead"),
 
-	/** A routed request was answered; one in some hundred is told. */
+	/** A routed request was answered; only one in some hundred requests is logged. */
 	REQUEST_ANSWERED("request-answered", "request", "route", "pool", "urgency", "table", "waited_ms", "first_ms",
 			"took_ms", "attempts", "sent_urgency", "ahead"),
 
 	/**
-	 * An answer came whole, but after its target or with too long a pause: what it waited
-	 * for at the entry, until it was sent, until the endpoint answered, its longest
-	 * pause, and how many late answers since the line before were not told.
+	 * A response was complete, but missed its target or had too long a gap between
+	 * events: the times it waited at the entry VM, until it was sent and until the
+	 * endpoint answered, its longest gap, and how many late responses since the previous
+	 * line were not logged.
 	 */
 	REQUEST_LATE("request-late", "request", "route", "pool", "urgency", "table", "endpoint", "waited_ms", "sent_ms",
 			"first_ms", "gap_ms", "took_ms", "attempts", "target_ms", "gap_target_ms", "untold", "sent_urgency",
 			"ahead"),
 
-	/** A request was refused before any endpoint was looked for. */
+	/** A request was refused before an endpoint was selected. */
 	REQUEST_REFUSED("request-refused", "request", "code", "host", "path", "table", "retry_after_ms"),
 
 	/**
-	 * A request was refused because its target is out of reach: what the decision went
-	 * by, and how many such refusals since the line before were not told.
+	 * A request was refused because its target cannot be met: the values that the
+	 * decision was based on, and how many such refusals since the previous line were not
+	 * logged.
 	 */
 	TARGET_REFUSED("target-refused", "request", "waited_ms", "expected_wait_ms", "least_ms", "target_ms", "ahead",
 			"running", "healthy", "slots", "mean_ms", "untold"),
 
-	/** Refusals of one cause beyond the rate that is told one by one. */
+	/**
+	 * Refusals with the same code beyond the rate at which they are logged individually.
+	 */
 	REFUSALS_MERGED("refusals-merged", "code", "count", "requests"),
 
-	/** An attempt ended otherwise than with a whole answer. */
+	/** An attempt ended without a complete response. */
 	ATTEMPT_ENDED("attempt-ended", "request", "endpoint", "end", "age_ms", "silent_ms", "running", "waiting_work",
 			"failure_rate"),
 
 	/**
-	 * A request is sent once more, which the retry budget pays for: what is left of the
-	 * part of this VM, by how many VMs it divides the budget, how long ago control told
-	 * that number, and for how long this process has run.
+	 * A request is retried, which is charged to the retry budget: what is left of this
+	 * VM's share, the number of VMs that share the budget, the age of that number since a
+	 * control VM reported it, and the uptime of this process.
 	 */
 	RETRY("retry", "request", "pool", "endpoint", "left", "sharers", "count_age_ms", "running_ms"),
 
-	/** A configuration is in force on this VM. */
+	/** A configuration became active on this VM. */
 	CONFIGURATION("configuration", "table", "pools"),
 
 	/** The list of endpoints changed. */
 	FLEET("fleet", "fleet", "endpoints", "leaving", "source"),
 
-	/** Another VM sums the load of this one up, none, or this VM itself. */
+	/**
+	 * The relay that aggregates the load of this VM changed: another VM, none, or this VM
+	 * itself.
+	 */
 	LOAD_RELAY("load-relay", "relay", "before"),
 
-	/** Another number of engines is for the requests whose target is the shortest. */
+	/**
+	 * The number of engines reserved for the requests with the shortest target changed.
+	 */
 	DIVISION("division", "pool", "engines", "brief_running", "waiting_work"),
 
-	/** No control VM tells the fleet any more. */
+	/** No control VM reports the fleet any more. */
 	CONTROL_LOST("control-lost", "silent_ms"),
 
-	/** A control VM tells the fleet again. */
+	/** A control VM reports the fleet again. */
 	CONTROL_REGAINED("control-regained", "fleet"),
 
-	/** The program serves. */
+	/** The process has started to serve. */
 	STARTED("started", "address"),
 
-	/** A stop was asked for. */
+	/** A stop was requested. */
 	STOPPING("stopping", "open"),
 
-	/** The program ends. */
+	/** The process is about to exit. */
 	STOPPED("stopped", "drained"),
 
-	/** The settings were read again. */
+	/** The settings were reloaded. */
 	RELOADED("reloaded", "controls"),
 
-	/** An operator handed a configuration in. */
+	/** An operator submitted a configuration. */
 	CONFIGURATION_PUT("configuration-put", "table", "code", "took_ms"),
 
 	/** The role, the term or the leader of this replica changed. */
@@ -97,18 +107,24 @@
 	MEMBER_CHANGE("member-change", "change", "vm", "replica", "voter", "absent_ms", "term"),
 
 	/**
-	 * An election is undecided: the voters that granted their vote and those that did
-	 * not.
+	 * An election is undecided: the voters that have granted their vote and those that
+	 * have not.
 	 */
 	ELECTION_OPEN("election-open", "term", "granted", "missing"),
 
-	/** This replica requested to join the membership: the result codes it received. */
+	/**
+	 * This replica requested to join the membership, with the result codes that it
+	 * received.
+	 */
 	JOIN_ASKED("join-asked", "replica", "listed", "asked", "answers"),
 
-	/** The routing policy in force: its name, what is off and which figures differ. */
+	/**
+	 * The active routing policy: its name, the mechanisms that are off and the values
+	 * that differ from the defaults.
+	 */
 	ROUTING_POLICY("routing-policy", "policy", "off", "values"),
 
-	/** Lines that were dropped as nobody took them. */
+	/** Log lines were dropped because the output did not accept them in time. */
 	LINES_DROPPED("lines-dropped", "count");
 
 	private final String label;
@@ -121,7 +137,7 @@
 	}
 
 	/**
-	 * Return the name of the event in a line.
+	 * Return the name of the event as it is logged.
 	 * @return the label
 	 */
 	public String label() {
--- a/daemon/src/main/java/org/acaciacourse/daemon/telemetry/LogQueue.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/telemetry/LogQueue.java
@@ -13,28 +13,30 @@
 import org.jctools.queues.MpscBlockingConsumerArrayQueue;
 
 /**
- * A bounded ring before an output, with a thread that writes. Whoever logs never waits: a
- * line that finds the ring full is dropped and counted, and once there is room again a
- * line tells how many were. A reader of the log that stands still so costs lines and no
- * request. Log4j's own asynchronous appender drops too, but does not count.
+ * A bounded ring buffer in front of an output, with a writer thread. Logging never
+ * blocks: a line is dropped and counted if the ring is full, and once there is room again
+ * the number of dropped lines is logged. A stalled reader of the log therefore costs
+ * lines but does not delay requests. Log4j's own asynchronous appender also drops lines,
+ * but does not count them.
  * <p>
- * The output may be made late, by the thread that writes.
+ * The writer thread may create the output some time after the start.
  * <p>
  * Thread safe.
  */
 public final class LogQueue {
 
 	/**
-	 * Lines of a few hundred bytes: a quarter of a megabyte, and seconds of a usual load.
+	 * With lines of a few hundred bytes, a quarter of a megabyte and some seconds of a
+	 * usual load.
 	 */
 	private static final int CAPACITY = 1024;
 
 	private static final long FLUSH_MILLIS = 50;
 
-	/** What making the output and writing what waits takes at an early end. */
+	/** The limit for a flush before the output exists, which has to be created first. */
 	private static final long FIRST_FLUSH_MILLIS = 1_000;
 
-	/** Wakes the thread that writes, which ends. */
+	/** Wakes the writer thread and makes it end. */
 	private static final QueuedLogLine END = new QueuedLogLine(0, Level.OFF, "", new SimpleMessage(""),
 			Optional.empty());
 
@@ -59,9 +61,10 @@
 	}
 
 	/**
-	 * Make a queue.
-	 * @param target makes the output
-	 * @param delayMillis how long after the start it is made, unless the ring gets full
+	 * Create a queue.
+	 * @param target creates the output
+	 * @param delayMillis the time from the start until the output is created; it is
+	 * created earlier if the ring gets full
 	 */
 	LogQueue(Supplier<Consumer<QueuedLogLine>> target, long delayMillis) {
 		this.outputFactory = target;
@@ -69,21 +72,21 @@
 	}
 
 	/**
-	 * Find the queue of this process.
-	 * @return the queue, if the lines of this process pass one
+	 * Return the queue of this process.
+	 * @return the queue, empty if none is installed
 	 */
 	public static Optional<LogQueue> installed() {
 		return QueuedLog.queue();
 	}
 
-	/** Begin to write. */
+	/** Start the writer thread. */
 	void start() {
 		this.writer.setDaemon(true);
 		this.writer.start();
 	}
 
 	/**
-	 * Write a line, or drop it.
+	 * Add a line to the queue, or drop it if the queue is full.
 	 * @param line the line
 	 */
 	void append(QueuedLogLine line) {
@@ -94,7 +97,7 @@
 	}
 
 	/**
-	 * Return how many lines were dropped.
+	 * Return the number of dropped lines.
 	 * @return the number since the start
 	 */
 	public long dropped() {
@@ -117,8 +120,8 @@
 		}
 	}
 
-	// Whoever reads the output may be gone, and come back. Lines that are lost are told
-	// after the next one that could be written.
+	// A write fails while the output has no reader, which may come back. The number of
+	// lost lines is logged after the next line that could be written.
 	private boolean write(Consumer<QueuedLogLine> output, QueuedLogLine line) {
 		try {
 			output.accept(line);
@@ -138,11 +141,11 @@
 		}
 	}
 
-	/** Write what waits, as far as it can be written soon, and end. */
+	/** Write the queued lines within a time limit and stop the writer thread. */
 	public void flush() {
 		this.outputDue.countDown();
-		// A full ring has no place for the end, and a writer that has not got through
-		// it by then is given up in any case.
+		// A full ring has no room for the end marker. A writer that cannot empty it
+		// within the limit is abandoned in any case.
 		this.ring.offer(END);
 		try {
 			this.writer.join((this.outputCreated) ? FLUSH_MILLIS : FIRST_FLUSH_MILLIS);
--- a/daemon/src/main/java/org/acaciacourse/daemon/telemetry/ProcessMetrics.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/telemetry/ProcessMetrics.java
@@ -6,9 +6,9 @@
 import io.prometheus.metrics.model.registry.PrometheusRegistry;
 
 /**
- * Memory and log of a process, under the names that Prometheus uses for them. Read when
- * they are asked for: the instrumentation library reads them through JMX, whose classes
- * would be loaded at each start.
+ * Memory and log metrics of a process, the memory metrics under the names that Prometheus
+ * uses. The values are read directly when the metrics are collected: the instrumentation
+ * library reads them through JMX, whose classes would be loaded at each start.
  * <p>
  * Thread safe: it has no state.
  */
--- a/daemon/src/main/java/org/acaciacourse/daemon/telemetry/QueuedLog.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/telemetry/QueuedLog.java
@@ -14,17 +14,18 @@
 import org.apache.logging.log4j.spi.Provider;
 
 /**
- * The log of a process whose start must be short: loggers that put their lines into a
- * {@link LogQueue}, and a thread that begins some time later to write them as JSON to
- * standard output. Log4j's core and its configuration are not started at all: after a
- * loss of power all VMs would pay for that at once, while callers wait.
+ * The log of a process that must start quickly: loggers that put their lines into a
+ * {@link LogQueue}, and a thread that starts some time later to write them as JSON to
+ * standard output. Log4j Core and its configuration are not initialized at all: after a
+ * power failure all VMs would pay for that at the same time, while callers wait.
  * <p>
  * Thread safe.
  */
 public final class QueuedLog implements LoggerContextFactory, LoggerContext {
 
 	/**
-	 * Longer than it takes from the start until the backlog of a loss of power is served.
+	 * Longer than the time from the start until the backlog after a power failure is
+	 * served.
 	 */
 	private static final long DELAY_MILLIS = 1_500;
 
@@ -34,14 +35,14 @@
 
 	private final LogQueue queue;
 
-	// Without System.out, which writes a line in two parts.
+	// Does not use System.out, which writes a line in two parts.
 	private QueuedLog(String vm) {
 		this.queue = new LogQueue(() -> new JsonLines(new FileOutputStream(FileDescriptor.out), vm), DELAY_MILLIS);
 	}
 
 	/**
-	 * Let all loggers of the process write to a queue. Called before the first logger is
-	 * made; later ones go on as before.
+	 * Make all loggers of the process write to a queue. Must be called before the first
+	 * logger is created; later calls return the same queue.
 	 * @param vm the name of the VM, a field of each line
 	 * @return the queue
 	 */
@@ -75,7 +76,7 @@
 
 	@Override
 	public void removeContext(LoggerContext context) {
-		// There is one, for as long as the process lives.
+		// The only context lives as long as the process.
 	}
 
 	@Override
@@ -88,7 +89,7 @@
 		return this.loggers.computeIfAbsent(name, (loggerName) -> new QueuedLogger(loggerName, this.queue));
 	}
 
-	// All messages are text or fields that are kept as they are: one way to make them
+	// All messages are text or fields that are kept as they are, so one message factory
 	// suffices.
 	@Override
 	public ExtendedLogger getLogger(String name, MessageFactory factory) {
--- a/daemon/src/main/java/org/acaciacourse/daemon/telemetry/QueuedLogLine.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/telemetry/QueuedLogLine.java
@@ -8,8 +8,8 @@
 import org.apache.logging.log4j.message.SimpleMessage;
 
 /**
- * A line of the log that is written later, by another thread: text is formatted at once,
- * as its parameters may change.
+ * A log line that another thread writes later. Text is formatted on creation, as its
+ * parameters may change afterwards.
  * <p>
  * Immutable and thread safe, if the fields of a structured message are.
  *
@@ -17,7 +17,7 @@
  * @param level the level
  * @param logger the name of the logger
  * @param message the text, or the fields of a structured line
- * @param thrown the exception that is told
+ * @param thrown the exception to log
  */
 record QueuedLogLine(long at, Level level, String logger, Message message, Optional<Throwable> thrown) {
 	QueuedLogLine {
--- a/daemon/src/main/java/org/acaciacourse/daemon/telemetry/QueuedLogProvider.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/telemetry/QueuedLogProvider.java
@@ -4,17 +4,17 @@
 import org.apache.logging.log4j.spi.Provider;
 
 /**
- * Tells Log4j's interface to take its loggers from {@link QueuedLog}. Named by a system
- * property, so that no other provider is looked for.
+ * Makes the Log4j API take its loggers from {@link QueuedLog}. It is named by a system
+ * property, so that Log4j does not search for other providers.
  * <p>
  * Immutable and thread safe.
  */
 public final class QueuedLogProvider extends Provider {
 
-	/** There is no other one to choose from. */
+	/** Any value does, as there is no other provider. */
 	private static final int ANY_PRIORITY = 1;
 
-	/** Made by Log4j. */
+	/** Called by Log4j. */
 	public QueuedLogProvider() {
 		super(ANY_PRIORITY, CURRENT_VERSION, QueuedLog.class);
 	}
--- a/daemon/src/main/java/org/acaciacourse/daemon/telemetry/QueuedLogger.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/telemetry/QueuedLogger.java
@@ -13,7 +13,7 @@
 
 /**
  * A logger that puts its lines into a queue, with the time at which they were logged. It
- * takes the choice by level from Log4j's simple logger, and none of its output.
+ * inherits the filtering by level from Log4j's simple logger and does not use its output.
  * <p>
  * Thread safe.
  */
@@ -22,8 +22,9 @@
 	private static final long serialVersionUID = 1L;
 
 	/**
-	 * What is told of each package: our own decisions, and of libraries what they can't
-	 * bear. Both libraries that are kept quieter warn of each connection that breaks.
+	 * The minimum level per package: INFO for this project, WARN for libraries by
+	 * default. The two libraries listed with a higher level warn of each broken
+	 * connection.
 	 */
 	private static final Map<String, Level> LEVELS = Map.of("org.acaciacourse", Level.INFO, "org.apache.thrift",
 			Level.OFF, "org.asynchttpclient.netty.request", Level.FATAL);
--- a/daemon/src/main/java/org/acaciacourse/daemon/telemetry/Traces.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/telemetry/Traces.java
@@ -26,8 +26,8 @@
 import org.acaciacourse.core.settings.Settings;
 
 /**
- * Spans for each hop of a request, exported as the settings say. Without an exporter the
- * trace context of the caller is passed on all the same.
+ * Spans for each hop of a request, exported as configured in the settings. Without an
+ * exporter the trace context of the caller is still propagated.
  * <p>
  * Thread safe.
  */
@@ -48,7 +48,7 @@
 	}
 
 	/**
-	 * Make the traces of a process.
+	 * Create the traces of a process.
 	 * @param settings its settings
 	 * @return the traces
 	 */
@@ -62,7 +62,7 @@
 	}
 
 	/**
-	 * Make traces that go to an exporter at once.
+	 * Create traces that export each span as soon as it ends.
 	 * @param settings the settings of the process
 	 * @param exporter the exporter
 	 * @return the traces
@@ -87,10 +87,10 @@
 	}
 
 	/**
-	 * Begin the span of a call that comes in.
+	 * Start the span of an incoming request.
 	 * @param name the name of the hop
-	 * @param traceparent the trace context that came with it, empty for none
-	 * @return the span, to be ended by the caller
+	 * @param traceparent the trace context received with it, empty for none
+	 * @return the span, which the calling code must end
 	 */
 	public Span incoming(String name, String traceparent) {
 		Context parent = PROPAGATOR.extract(Context.root(), traceparent, SingleHeader.INSTANCE);
@@ -98,17 +98,17 @@
 	}
 
 	/**
-	 * Begin the span of a hop within a request.
+	 * Start the span of a hop within a request.
 	 * @param name the name of the hop
-	 * @param parent the span it is part of
-	 * @return the span, to be ended by the caller
+	 * @param parent the parent span
+	 * @return the span, which the calling code must end
 	 */
 	public Span child(String name, Span parent) {
 		return this.tracer.spanBuilder(name).setParent(Context.root().with(parent)).startSpan();
 	}
 
 	/**
-	 * Return the trace context to send along.
+	 * Return the trace context to send with an outgoing request.
 	 * @param span the span
 	 * @return the value of the header, empty without a trace
 	 */
@@ -123,7 +123,7 @@
 		this.sdk.ifPresent(OpenTelemetrySdk::close);
 	}
 
-	/** Reads the one header from its value. */
+	/** Presents the value of the traceparent header as a carrier with that one header. */
 	private enum SingleHeader implements TextMapGetter<String> {
 
 		INSTANCE;
--- a/daemon/src/main/java/org/acaciacourse/daemon/telemetry/package-info.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/telemetry/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Health, metrics and traces of a daemon.
+ * Health, metrics, traces and logs of a daemon.
  */
 package org.acaciacourse.daemon.telemetry;
--- a/daemon/src/test/java/org/acaciacourse/daemon/telemetry/JsonLinesTests.java
+++ b/daemon/src/test/java/org/acaciacourse/daemon/telemetry/JsonLinesTests.java
@@ -71,8 +71,8 @@
 	class Text {
 
 		/*
-		 * A caller sends bytes that end a line or a string in its request's id. The line
-		 * that tells the id stays one line, and one object.
+		 * A caller sends a request id with characters that would end a line or a JSON
+		 * string. The log line with the id must remain a single line and a single object.
 		 */
 		@Test
 		void textFromOutsideCannotBreakTheLine() throws Exception {
--- a/daemon/src/test/java/org/acaciacourse/daemon/telemetry/LogQueueTests.java
+++ b/daemon/src/test/java/org/acaciacourse/daemon/telemetry/LogQueueTests.java
@@ -19,9 +19,9 @@
 
 class LogQueueTests {
 
-	// Nobody reads standard output, so that the write of the first line never returns.
-	// Whoever logs goes on at once all the same; what does not fit is counted, and what
-	// fitted is written in its order once there is a reader again.
+	// Nobody reads standard output, so that the write of the first line blocks. Logging
+	// must not block; lines that do not fit are counted, and the others are written in
+	// order once there is a reader again.
 	@Test
 	void stalledOutputDoesNotBlockLogging() throws Exception {
 		CountDownLatch stalled = new CountDownLatch(1);
@@ -56,8 +56,8 @@
 	}
 
 	/*
-	 * Standard output can't be written for a while, as its reader went away. The thread
-	 * that writes must outlive that: else a process would be silent for good after it.
+	 * Writes to standard output fail for a while because its reader is gone. The writer
+	 * thread must survive that; otherwise the process would never log again.
 	 */
 	@Test
 	void failedWriteLosesOnlyItsLine() throws Exception {
@@ -77,8 +77,8 @@
 	}
 
 	/*
-	 * A process ends right after its last lines. What was appended before the flush is
-	 * written when it returns, the last line as a whole.
+	 * A process exits right after its last lines. Lines that were appended before the
+	 * flush must be completely written when it returns.
 	 */
 	@Test
 	void flushReturnsOnceTheLastLineIsWritten() throws Exception {
--- a/daemon/src/test/java/org/acaciacourse/daemon/telemetry/QueuedLoggerTests.java
+++ b/daemon/src/test/java/org/acaciacourse/daemon/telemetry/QueuedLoggerTests.java
@@ -39,9 +39,9 @@
 	class BeforeThereIsAnOutput {
 
 		/*
-		 * All VMs start again at once. Each process tells how it started, but makes the
-		 * output of its log only later, when it serves. What it told meanwhile is written
-		 * then, in its order and with the time at which it was told.
+		 * All VMs restart at the same time. Each process logs its startup, but creates
+		 * the log output only later, when it serves. Lines logged in between must then be
+		 * written in order and with the time at which they were logged.
 		 */
 		@Test
 		void linesAreWrittenLaterWithTheTimeOfTheirEvent() throws Exception {
@@ -68,8 +68,9 @@
 		}
 
 		/*
-		 * A process ends before it made the output, as its address is taken. Why it ended
-		 * stands in its last lines, which are written at once then.
+		 * A process exits before it has created the output, because its address is in
+		 * use. Its last lines hold the reason, so the flush must create the output and
+		 * write them.
 		 */
 		@Test
 		void flushCreatesTheOutputAndWritesQueuedLines() throws Exception {
@@ -82,8 +83,8 @@
 		}
 
 		/*
-		 * A process that logs more than fits before its output is made makes it at once,
-		 * and tells how many lines were dropped.
+		 * A process that fills the queue before its output exists must create the output
+		 * at once instead of after the delay.
 		 */
 		@Test
 		void fullQueueCreatesTheOutputAtOnce() throws Exception {
@@ -118,7 +119,7 @@
 
 	}
 
-	/** Keeps what is written. */
+	/** Records the lines written to it. */
 	private static final class Output implements Consumer<QueuedLogLine> {
 
 		private final BlockingQueue<QueuedLogLine> written = new LinkedBlockingQueue<>();
