--- a/daemon/src/main/java/org/acaciacourse/daemon/telemetry/AdminServer.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/telemetry/AdminServer.java
@@ -63,7 +63,8 @@
 			return Optional.of(new AdminServer(address, registry, ready));
 		}
 		catch (IOException ex) {
-			logger.error("{} no metrics at {}", ResultCode.ADDRESS_IN_USE.number(), address, ex);
+			logger.error("{} cannot open the health and metrics server at {}", ResultCode.ADDRESS_IN_USE.number(),
+					address, ex);
 			return Optional.empty();
 		}
 	}
--- a/daemon/src/main/java/org/acaciacourse/daemon/telemetry/QueuedLog.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/telemetry/QueuedLog.java
@@ -56,7 +56,7 @@
 	}
 
 	static synchronized QueuedLog instance() {
-		return installed.orElseThrow(() -> new IllegalStateException("no queue was installed"));
+		return installed.orElseThrow(() -> new IllegalStateException("QueuedLog.install was not called"));
 	}
 
 	static synchronized Optional<LogQueue> queue() {
