--- a/daemon/src/main/java/org/acaciacourse/daemon/explain/ExplainCommand.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/explain/ExplainCommand.java
@@ -14,7 +14,7 @@
 import org.acaciacourse.daemon.cli.Command;
 
 /**
- * Prints the path of a request over the logs of all VMs.
+ * Prints the path of a request from the logs of all VMs.
  * <p>
  * Not thread safe.
  */
@@ -37,7 +37,8 @@
 		}
 		Explanation explanation = new Explanation(this.arguments.get(0));
 		for (String log : this.arguments.subList(1, this.arguments.size())) {
-			// Lines that a fault filled with other bytes must not end the search.
+			// ISO 8859-1 accepts any bytes, so that corrupted lines do not end the
+			// search.
 			try (Stream<String> lines = Files.lines(Path.of(log), StandardCharsets.ISO_8859_1)) {
 				lines.forEach(explanation::add);
 			}
--- a/daemon/src/main/java/org/acaciacourse/daemon/explain/Explanation.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/explain/Explanation.java
@@ -15,18 +15,24 @@
 import org.acaciacourse.daemon.telemetry.LogEvent;
 
 /**
- * Gathers the lines that tell of a request, each with what its VM believed at that
- * moment. The lines of one VM keep the order in which they were written: a clock that
- * stepped back must not turn cause and effect round, and is shown instead.
+ * Collects the lines that concern a request, each with the state of its VM at that
+ * moment, as far as the VM knew it. The lines of one VM keep the order in which they were
+ * written: if its clock steps back, sorting by time would put an effect before its cause,
+ * so the step is shown instead.
  * <p>
- * Not thread safe: made for one request and used once.
+ * Not thread safe: created for one request and used once.
  */
 final class Explanation {
 
-	/** A line may be written some milliseconds after one with a later time. */
+	/**
+	 * Steps up to this are ignored: a line may be written some milliseconds after one
+	 * with a later time.
+	 */
 	private static final Duration CLOCK_TOLERANCE = Duration.ofMillis(100);
 
-	/** The events that change what a VM believes, of which the latest of each counts. */
+	/**
+	 * The events that change the state known to a VM; the latest of each kind applies.
+	 */
 	private static final Set<String> STATE_EVENTS = Set.of(LogEvent.CONFIGURATION.label(), LogEvent.FLEET.label(),
 			LogEvent.CONTROL_LOST.label(), LogEvent.CONTROL_REGAINED.label(), LogEvent.LEADER.label(),
 			LogEvent.MEMBERS.label(), LogEvent.STARTED.label(), LogEvent.STOPPING.label());
@@ -46,7 +52,7 @@
 	}
 
 	/**
-	 * Take the next line of a log.
+	 * Add the next line of a log.
 	 * @param text the text of the line
 	 */
 	void add(String text) {
@@ -75,7 +81,8 @@
 
 	/**
 	 * Return the path of the request.
-	 * @return the lines by time, with what their VM believed, and the last that decided
+	 * @return the lines by time, each with the state of its VM, and the last one, which
+	 * decided the outcome
 	 */
 	String text() {
 		StringBuilder text = new StringBuilder();
@@ -109,12 +116,14 @@
 	}
 
 	/**
-	 * A line that tells of the request.
+	 * A line that concerns the request.
 	 *
 	 * @param line the line
-	 * @param sortTime the latest time that its VM has shown so far, which never goes back
-	 * @param stateLines what its VM believed, oldest first
-	 * @param clockStep by how much the clock went back before it, if it did
+	 * @param sortTime the latest time in the lines of its VM so far, which never
+	 * decreases
+	 * @param stateLines the latest line of each event that describes the state of its VM,
+	 * oldest first
+	 * @param clockStep by how much the clock of its VM stepped back before it, if it did
 	 */
 	private record Match(LogLine line, Instant sortTime, List<LogLine> stateLines, Optional<Duration> clockStep) {
 	}
--- a/daemon/src/main/java/org/acaciacourse/daemon/explain/LogLine.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/explain/LogLine.java
@@ -9,7 +9,7 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 
 /**
- * A line of a decision log.
+ * A parsed line of a decision log.
  * <p>
  * Immutable and thread safe.
  *
@@ -23,10 +23,10 @@
 	private static final ObjectMapper MAPPER = new ObjectMapper();
 
 	/**
-	 * Read a line. What stands before the first brace is passed over, as collectors put
-	 * their own marks there.
+	 * Parse a line. Text before the first brace is skipped, as log collectors put their
+	 * own prefixes there.
 	 * @param text the text of the line
-	 * @return the line, if it is one of a decision log
+	 * @return the line, empty if it is not one of a decision log
 	 */
 	public static Optional<LogLine> parse(String text) {
 		int brace = text.indexOf('{');
@@ -43,15 +43,15 @@
 					fields.path("event").asText(), fields));
 		}
 		catch (JsonProcessingException | DateTimeException ex) {
-			// A line that was cut while it was written tells nothing.
+			// The line was truncated while it was written.
 			return Optional.empty();
 		}
 	}
 
 	/**
-	 * Return whether the line tells of a request.
+	 * Return whether the line concerns a request.
 	 * @param request the id of the request
-	 * @return whether it names the request, be it among others
+	 * @return whether the line has the id, alone or in a list
 	 */
 	boolean concerns(String request) {
 		if (this.fields.path("request").asText().equals(request)) {
--- a/daemon/src/main/java/org/acaciacourse/daemon/explain/package-info.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/explain/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Explains what became of a request, from the decision logs of all VMs alone.
+ * Explains the outcome of a request from the decision logs of all VMs alone.
  */
 package org.acaciacourse.daemon.explain;
--- a/daemon/src/test/java/org/acaciacourse/daemon/explain/ExplainCommandTests.java
+++ b/daemon/src/test/java/org/acaciacourse/daemon/explain/ExplainCommandTests.java
@@ -42,8 +42,9 @@
 		return explanation.text();
 	}
 
-	// The caller sees 502. Its request went to one endpoint, which broke off; the entry
-	// had lost control two seconds before and did not know that the endpoint was leaving.
+	// The caller gets a 502. Its request went to one endpoint, which broke the
+	// connection; the entry VM had lost contact with the control VMs two seconds earlier
+	// and did not know that the endpoint was leaving.
 	@Test
 	void pathOfARequestWithTheStateOfItsVm() throws IOException {
 		Path entry = log("entry.log", "lines of another program",
@@ -69,8 +70,8 @@
 		assertThat(explained("r2", log)).contains("count=97");
 	}
 
-	// The clock of the VM went back by two seconds between two lines. Sorted by time the
-	// effect would stand before its cause without a sign.
+	// The clock of the VM steps back by two seconds between two lines. Sorted by time,
+	// the effect would appear before its cause without any indication.
 	@Test
 	void clockThatStepsBackIsShown() throws IOException {
 		Path log = log("a.log", line("05.000", "entry-1", "{\"event\":\"attempt-ended\",\"request\":\"r1\"}"),
