--- a/daemon/src/main/java/org/acaciacourse/daemon/operator/ApplyCommand.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/operator/ApplyCommand.java
@@ -22,7 +22,7 @@
 import org.acaciacourse.protocol.generated.StatusReply;
 
 /**
- * Hands a manifest in and waits until the live entries have confirmed it.
+ * Submits a manifest and waits until the live entry VMs have confirmed it.
  * <p>
  * Not thread safe.
  */
@@ -114,7 +114,10 @@
 		}
 	}
 
-	/** How many entries have confirmed. */
+	/**
+	 * How many entry VMs have confirmed the manifest, after how long, and the names of
+	 * the others.
+	 */
 	private record Confirmation(long confirmed, int entries, long millis, String missing) {
 	}
 
--- a/daemon/src/main/java/org/acaciacourse/daemon/operator/CheckCommand.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/operator/CheckCommand.java
@@ -18,7 +18,7 @@
 import org.acaciacourse.daemon.cli.Command;
 
 /**
- * Checks a settings file or a manifest and applies nothing.
+ * Checks a settings file or a manifest without applying it.
  * <p>
  * Not thread safe.
  */
@@ -60,7 +60,7 @@
 
 	/**
 	 * Print all problems.
-	 * @param output prints
+	 * @param output the output to print to
 	 * @param code the code of the failure
 	 * @param problems the problems
 	 * @return the code
--- a/daemon/src/main/java/org/acaciacourse/daemon/operator/ClassComparison.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/operator/ClassComparison.java
@@ -8,25 +8,25 @@
 import org.acaciacourse.protocol.generated.ClassReport;
 
 /**
- * Results of one class under one policy, added up over all entries.
+ * Results of one class under one policy, summed over all entry VMs.
  * <p>
  * Immutable and thread safe.
  *
  * @param requestClass the class
  * @param policy the policy
- * @param sample the requests that ended, whichever way
+ * @param sample the requests that ended, whatever their outcome
  * @param met those that met the target
  * @param refused those that were refused
- * @param tokensDelivered the tokens that callers got
- * @param tokensWasted the tokens that were computed and thrown away
+ * @param tokensDelivered the tokens delivered to callers
+ * @param tokensWasted the tokens that were computed and discarded
  */
 record ClassComparison(String requestClass, String policy, long sample, long met, long refused, long tokensDelivered,
 		long tokensWasted) {
 
 	/**
-	 * Add up reports.
-	 * @param reports the reports of all entries
-	 * @return a row for each class and policy, the policies of a class side by side
+	 * Sum up reports.
+	 * @param reports the reports of all entry VMs
+	 * @return a row for each class and policy, sorted by class, then by policy
 	 */
 	static List<ClassComparison> of(List<ClassReport> reports) {
 		SortedMap<String, ClassComparison> rows = new TreeMap<>();
@@ -49,7 +49,7 @@
 	}
 
 	/**
-	 * Return the share that met the target.
+	 * Return the share of requests that met the target.
 	 * @return the attainment, 0 for an empty sample
 	 */
 	double attainment() {
@@ -57,15 +57,15 @@
 	}
 
 	/**
-	 * Return how sure the attainment is.
-	 * @return its interval
+	 * Return the confidence interval of the attainment.
+	 * @return the 95 % interval
 	 */
 	WilsonInterval interval() {
 		return WilsonInterval.of(this.met, this.sample);
 	}
 
 	/**
-	 * Return the share of computed tokens that were thrown away.
+	 * Return the share of computed tokens that were discarded.
 	 * @return the share, 0 if none were computed
 	 */
 	double wastedShare() {
--- a/daemon/src/main/java/org/acaciacourse/daemon/operator/ControlClient.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/operator/ControlClient.java
@@ -16,8 +16,8 @@
 import org.acaciacourse.protocol.generated.TraceContext;
 
 /**
- * An operator's calls to control. Both may be repeated: a manifest with the same number
- * and digest gets the same answer again.
+ * An operator's calls to the control VMs. Both are idempotent: a manifest with the same
+ * number and digest gets the same reply again.
  * <p>
  * Not thread safe.
  */
@@ -39,10 +39,10 @@
 	}
 
 	/**
-	 * Hand a whole manifest in.
+	 * Submit a complete manifest.
 	 * @param document the manifest
-	 * @param operator who hands it in
-	 * @return the answer; the code says whether it is in force
+	 * @param operator the name of the operator
+	 * @return the reply; its code says whether the manifest is in force
 	 * @throws InterruptedException if the thread is interrupted
 	 */
 	ApplyReply apply(ManifestDocument document, String operator) throws InterruptedException {
@@ -53,8 +53,8 @@
 	}
 
 	/**
-	 * Ask for the status.
-	 * @return the status; the code says whether there is one
+	 * Fetch the status.
+	 * @return the status; its code says whether it is available
 	 * @throws InterruptedException if the thread is interrupted
 	 */
 	StatusReply status() throws InterruptedException {
--- a/daemon/src/main/java/org/acaciacourse/daemon/operator/OperatorOptions.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/operator/OperatorOptions.java
@@ -12,7 +12,7 @@
 import org.acaciacourse.core.settings.SettingType;
 
 /**
- * Options that the commands which call control have in common.
+ * Options shared by the commands that call the control VMs.
  * <p>
  * Not thread safe: filled by JCommander, then only read.
  */
@@ -29,7 +29,7 @@
 
 	/**
 	 * Return the addresses of the control VMs.
-	 * @return the addresses, or the code if one is none
+	 * @return the addresses, or the code if one of them is invalid
 	 */
 	Either<ResultCode, List<String>> controls() {
 		boolean valid = this.controls.stream().allMatch((address) -> SettingType.ADDRESS.problemOf(address).isEmpty());
@@ -38,7 +38,7 @@
 
 	/**
 	 * Return the key.
-	 * @return the key, or why there is none
+	 * @return the key, or the code that says why there is none
 	 */
 	Either<ResultCode, String> key() {
 		if (this.key != null) {
--- a/daemon/src/main/java/org/acaciacourse/daemon/operator/Output.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/operator/Output.java
@@ -7,7 +7,7 @@
 import org.acaciacourse.core.code.ResultCode;
 
 /**
- * Prints the results of commands, as text or as one JSON object.
+ * Prints the results of commands, as text or as a single JSON object.
  * <p>
  * Not thread safe.
  */
--- a/daemon/src/main/java/org/acaciacourse/daemon/operator/StatusCommand.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/operator/StatusCommand.java
@@ -17,7 +17,7 @@
 import org.acaciacourse.protocol.generated.StatusReply;
 
 /**
- * Shows the manifest in force, the replicas, the entries and the audit log.
+ * Shows the manifest in force, the replicas, the entry VMs and the audit log.
  * <p>
  * Not thread safe.
  */
--- a/daemon/src/test/java/org/acaciacourse/daemon/operator/CommandTests.java
+++ b/daemon/src/test/java/org/acaciacourse/daemon/operator/CommandTests.java
@@ -112,7 +112,7 @@
 
 	}
 
-	/** What a command returned and printed. */
+	/** The result code of a command and the JSON it printed. */
 	private record Printed(ResultCode code, JsonNode json) {
 	}
 
