--- a/daemon/src/main/java/org/acaciacourse/daemon/cli/Main.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/cli/Main.java
@@ -64,14 +64,14 @@
 		return run(commands.get(name));
 	}
 
-	// The options of a command are found by reflection. To do that for all commands would
-	// take a third of the processor time until an entry listens.
+	// The options of a command are found by reflection. Doing that for all commands would
+	// take a third of the CPU time until an entry VM listens.
 	private static Map<String, Command> commandsToParse(Map<String, Command> commands, String... args) {
 		boolean known = args.length > 0 && commands.containsKey(args[0]);
 		return (known) ? Map.of(args[0], commands.get(args[0])) : commands;
 	}
 
-	// A command may have required options, which must not get in the way of its help.
+	// Help must be available without the required options of the command.
 	private static boolean requestsHelp(String... args) {
 		return Arrays.stream(args).anyMatch((arg) -> arg.equals("--help") || arg.equals("-h"));
 	}
--- a/daemon/src/main/java/org/acaciacourse/daemon/cli/SettingsFile.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/cli/SettingsFile.java
@@ -12,7 +12,7 @@
 import org.acaciacourse.core.settings.Settings;
 
 /**
- * Reads a settings file for a daemon and prints everything that is wrong with it.
+ * Reads the settings file of a daemon and prints all problems found in it.
  * <p>
  * Thread safe: it has no state.
  */
--- a/daemon/src/main/java/org/acaciacourse/daemon/cli/StopSignal.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/cli/StopSignal.java
@@ -8,9 +8,9 @@
 
 /**
  * Waits for SIGTERM or SIGINT, so that a daemon can stop gracefully and exit with the
- * status of its result; a shutdown hook would end with the status of the signal. A second
- * signal asks the daemon to cut what is left, a third ends the process at once, should
- * the daemon hang.
+ * status of its result; with a shutdown hook it would exit with the status of the signal.
+ * A second signal asks the daemon to abort the open requests, a third ends the process
+ * immediately in case the daemon hangs.
  * <p>
  * Thread safe.
  */
@@ -23,7 +23,7 @@
 	private final AtomicInteger count = new AtomicInteger();
 
 	/**
-	 * Begin to catch the signals.
+	 * Install the signal handlers.
 	 */
 	public StopSignal() {
 		Signal.handle(new Signal("TERM"), (signal) -> stop());
@@ -47,8 +47,8 @@
 	}
 
 	/**
-	 * Return whether a second signal came.
-	 * @return whether to cut what is left
+	 * Return whether a second signal was received.
+	 * @return whether to abort what is still open
 	 */
 	public boolean isRepeated() {
 		return this.count.get() > 1;
--- a/daemon/src/main/java/org/acaciacourse/daemon/cli/StopWait.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/cli/StopWait.java
@@ -5,7 +5,7 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Waits during a graceful stop.
+ * Waits for conditions during a graceful shutdown.
  * <p>
  * Thread safe: it has no state.
  */
@@ -18,9 +18,9 @@
 
 	/**
 	 * Wait for a condition.
-	 * @param cancelled whether to wait no longer
-	 * @param limit the longest time
-	 * @param condition what is waited for
+	 * @param cancelled returns whether to stop waiting
+	 * @param limit the maximum time to wait
+	 * @param condition the condition to wait for
 	 * @return whether the condition holds
 	 * @throws InterruptedException if the thread is interrupted
 	 */
--- a/daemon/src/main/java/org/acaciacourse/daemon/cli/package-info.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/cli/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The command line: launcher and subcommands.
+ * The command line: the launcher and what the subcommands share.
  */
 package org.acaciacourse.daemon.cli;
--- a/daemon/src/test/java/org/acaciacourse/daemon/cli/MainTests.java
+++ b/daemon/src/test/java/org/acaciacourse/daemon/cli/MainTests.java
@@ -12,7 +12,7 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * Tests for {@link Main}: each mistake on the command line gives its code.
+ * Tests for {@link Main}: each error on the command line yields its result code.
  */
 class MainTests {
 
@@ -44,8 +44,8 @@
 	@Nested
 	class FileArguments {
 
-		// Found by running it by hand: the file's path could not be set, so that apply
-		// and check ended with a fault of the command line whatever the file held.
+		// The parameter for the path of the file could not be set, so that apply and
+		// check failed with a command line error whatever the file contained.
 		@Test
 		void aValidManifestIsOk() {
 			assertThat(Main.run("check", "../samples/sample.manifest.ini")).isEqualTo(ResultCode.OK);
