--- a/daemon/src/main/java/org/acaciacourse/daemon/explain/ExplainCommand.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/explain/ExplainCommand.java
@@ -18,7 +18,7 @@
  * <p>
  * Not thread safe.
  */
-@Parameters(commandDescription = "Explain what became of a request: explain ID LOG...")
+@Parameters(commandDescription = "Explain the outcome of a request: explain ID LOG...")
 public final class ExplainCommand implements Command {
 
 	@Parameter(required = true, description = "ID LOG...")
