--- a/daemon/src/main/java/org/acaciacourse/daemon/operator/ApplyCommand.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/operator/ApplyCommand.java
@@ -26,7 +26,7 @@
  * <p>
  * Not thread safe.
  */
-@Parameters(commandDescription = "Hand in a whole manifest")
+@Parameters(commandDescription = "Submit a complete manifest")
 public final class ApplyCommand implements Command {
 
 	private static final long POLL_INTERVAL_MILLIS = 100;
@@ -37,10 +37,10 @@
 	@ParametersDelegate
 	private OperatorOptions options = new OperatorOptions();
 
-	@Parameter(names = "--operator", description = "Name for the audit log")
+	@Parameter(names = "--operator", description = "Operator name for the audit log")
 	private String operator = System.getProperty("user.name", "operator");
 
-	@Parameter(names = "--wait-seconds", description = "How long to wait for the entries")
+	@Parameter(names = "--wait-seconds", description = "How long to wait until the entry VMs confirm the manifest")
 	private int waitSeconds = 10;
 
 	@Parameter(names = "--json", description = "Print one JSON object")
--- a/daemon/src/main/java/org/acaciacourse/daemon/operator/CheckCommand.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/operator/CheckCommand.java
@@ -22,7 +22,7 @@
  * <p>
  * Not thread safe.
  */
-@Parameters(commandDescription = "Check a settings file or a manifest, apply nothing")
+@Parameters(commandDescription = "Check a settings file or a manifest without applying it")
 public final class CheckCommand implements Command {
 
 	private static final String MANIFEST = "manifest";
--- a/daemon/src/main/java/org/acaciacourse/daemon/operator/OperatorOptions.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/operator/OperatorOptions.java
@@ -18,13 +18,13 @@
  */
 final class OperatorOptions {
 
-	@Parameter(names = "--control", description = "Addresses of the control VMs, with commas")
+	@Parameter(names = "--control", description = "Addresses of the control VMs, separated by commas")
 	private List<String> controls = new ArrayList<>(List.of("127.0.0.1:8090"));
 
-	@Parameter(names = "--key", description = "Key of the operators; visible to others on this machine, see --key-file")
+	@Parameter(names = "--key", description = "Operator key; visible to other users of this host, see --key-file")
 	private String key;
 
-	@Parameter(names = "--key-file", description = "File with the key of the operators")
+	@Parameter(names = "--key-file", description = "File with the operator key")
 	private Path keyFile;
 
 	/**
--- a/daemon/src/main/java/org/acaciacourse/daemon/operator/StatusCommand.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/operator/StatusCommand.java
@@ -21,13 +21,13 @@
  * <p>
  * Not thread safe.
  */
-@Parameters(commandDescription = "Show the manifest in force, replicas, entries and audit log")
+@Parameters(commandDescription = "Show the manifest in force, replicas, entry VMs and audit log")
 public final class StatusCommand implements Command {
 
 	@ParametersDelegate
 	private OperatorOptions options = new OperatorOptions();
 
-	@Parameter(names = "--audit", description = "How many records of the audit log to show")
+	@Parameter(names = "--audit", description = "Maximum number of audit log records to print as text")
 	private int maxAuditRecords = 10;
 
 	@Parameter(names = "--json", description = "Print one JSON object")
