--- a/daemon/src/main/java/org/acaciacourse/daemon/control/ApplyService.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/control/ApplyService.java
@@ -20,9 +20,9 @@
 import org.acaciacourse.protocol.generated.Result;
 
 /**
- * Takes whole manifests from operators. The delta is worked out on the replica's thread
- * from the state at the time of the proposal; a manifest that was committed in between
- * voids it, and it is worked out anew.
+ * Applies complete manifests of operators. The delta is computed on the replica's thread
+ * from the state at the time of the proposal. If another manifest is committed in
+ * between, the delta is rejected and computed again.
  * <p>
  * Thread safe.
  */
--- a/daemon/src/main/java/org/acaciacourse/daemon/control/Bootstrap.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/control/Bootstrap.java
@@ -10,16 +10,18 @@
 import org.acaciacourse.protocol.generated.PeerDescription;
 
 /**
- * Decides what a replica with an empty folder does. It may be one of the first start, or
- * one that lost its disk and finds its old list of founders in its settings; a second
- * founding would make a second system beside the first and bring the configuration back
- * to nothing.
+ * Decides what a replica with an empty data folder does. The system may be starting for
+ * the first time, or the replica may have lost its disk while its settings still list it
+ * as an initial member. A second bootstrap would create a second cluster beside the first
+ * one, with an empty configuration.
  * <p>
- * So it founds only if every other founder has answered, and none of them holds a log.
- * The identities in the first membership are those they answered with; these lie on their
- * disks, so all that found at that time found with the same ones. While it asks, it takes
- * no part in elections. It is not enough if a majority of the founders lose their disks
- * before the others have taken part; those had the only copies.
+ * The replica therefore bootstraps the log only if every other initial member has
+ * responded and none of them has a log. The first membership contains the identities from
+ * these responses. They are stored on the members' disks, so that all replicas that
+ * bootstrap at that time use the same ones. Until the decision the replica takes no part
+ * in elections. This does not protect against the loss of the disks of a majority of the
+ * initial members before the others have taken part, since those disks held the only
+ * copies.
  * <p>
  * Thread safe: it has no state.
  */
@@ -29,13 +31,15 @@
 	}
 
 	/**
-	 * Decide.
+	 * Decide on the next step.
 	 * @param self this replica
-	 * @param initialMembers the addresses of the founders
-	 * @param descriptions what the other founders answered; silent ones are missing
-	 * @param mayBootstrap whether the whole system starts for the first time; at any
-	 * later start an empty folder is a lost one, and there is a log to join
-	 * @return what to do
+	 * @param initialMembers the addresses of the initial members
+	 * @param descriptions the responses of the other initial members, without those that
+	 * did not respond
+	 * @param mayBootstrap whether the whole system starts for the first time; at a later
+	 * start an empty data folder means that its contents were lost, and there is a log to
+	 * join
+	 * @return the decision
 	 */
 	static Decision decide(Member self, List<String> initialMembers, List<PeerDescription> descriptions,
 			boolean mayBootstrap) {
@@ -63,23 +67,26 @@
 	}
 
 	/**
-	 * The steps of a replica with an empty folder.
+	 * The steps of a replica with an empty data folder.
 	 */
 	enum Step {
 
-		/** Some founders are silent: ask again. */
+		/**
+		 * Query the initial members again: some did not respond, or bootstrap is not
+		 * allowed.
+		 */
 		ASK_AGAIN,
 
-		/** Found the log. */
+		/** Bootstrap the log with the first membership. */
 		FOUND,
 
-		/** A log exists: wait for its leader, and ask to be let in. */
+		/** Join the existing log: wait for its leader and request to become a member. */
 		JOIN
 
 	}
 
 	/**
-	 * What to do.
+	 * The decision.
 	 *
 	 * @param step the step
 	 * @param membership the first membership, for {@link Step#FOUND}
--- a/daemon/src/main/java/org/acaciacourse/daemon/control/ConfigurationStore.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/control/ConfigurationStore.java
@@ -13,10 +13,10 @@
 import org.acaciacourse.protocol.generated.TraceContext;
 
 /**
- * Hands manifests in and reads the one in force, at any control VM: what only the leader
- * can do is passed on to it.
+ * Submits manifests and reads the current one, at any control VM: operations that only
+ * the leader can serve are forwarded to it.
  * <p>
- * Thread safe. Calls block until there is an outcome.
+ * Thread safe. Calls block until the outcome is known or the wait times out.
  */
 public final class ConfigurationStore {
 
@@ -40,12 +40,13 @@
 	}
 
 	/**
-	 * Hand a manifest in.
+	 * Submit a manifest.
 	 * @param document the manifest
-	 * @param operator who hands it in
+	 * @param operator the name of the operator who submits it
 	 * @return {@link ResultCode#OK} once it is durable on a quorum,
 	 * {@link ResultCode#MANIFEST_OUTDATED} or {@link ResultCode#MANIFEST_CONFLICT} if a
-	 * manifest with its number or a higher one is, or why the outcome is another
+	 * manifest with the same or a higher number is already durable, or the code of
+	 * another failure
 	 */
 	public ResultCode apply(ManifestDocument document, String operator) {
 		ApplyRequest request = new ApplyRequest(this.operatorKey.text(), operator, ManifestCodec.encode(document),
@@ -61,9 +62,9 @@
 	}
 
 	/**
-	 * Read the manifest in force.
-	 * @return the manifest that is the newest at some moment of this call, empty before
-	 * the first one; or {@link ResultCode#NO_QUORUM} if that is not certain
+	 * Read the current manifest (a linearizable read).
+	 * @return the manifest that was the latest at some moment during this call, empty
+	 * before the first one; or {@link ResultCode#NO_QUORUM} if this cannot be ensured
 	 */
 	public Either<ResultCode, ManifestDocument> latest() {
 		try {
--- a/daemon/src/main/java/org/acaciacourse/daemon/control/ControlDaemon.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/control/ControlDaemon.java
@@ -33,9 +33,9 @@
 import org.apache.thrift.transport.TTransportException;
 
 /**
- * A control VM: one replica of the log with its store, servers and duties. It begins to
- * serve once the founding is decided. Invariant: whatever was opened is closed by
- * {@link #stop}, also after a start that failed.
+ * A control VM: one replica of the log with its store, servers and periodic tasks. It
+ * starts to serve once bootstrap is complete. Invariant: every opened resource is closed
+ * by {@link #stop}, also after a failed start.
  * <p>
  * Thread safe: start and stop are called once each, by any thread.
  */
@@ -84,16 +84,16 @@
 	private Optional<OrderWriterLoop> orderLoop = Optional.empty();
 
 	/**
-	 * Make a daemon.
-	 * @param options what it is started with
+	 * Create a daemon.
+	 * @param options its options
 	 */
 	public ControlDaemon(ControlOptions options) {
 		this.options = options;
 	}
 
 	/**
-	 * Open the data folder and the servers, and begin.
-	 * @return {@link ResultCode#OK}, or why it could not start
+	 * Open the data folder and the servers, and start the replica or its bootstrap.
+	 * @return {@link ResultCode#OK}, or the reason why the start failed
 	 */
 	public synchronized ResultCode start() {
 		try {
@@ -135,8 +135,8 @@
 		else {
 			startReplica();
 		}
-		// After the replica: an election, and all entries with it, would wait for what
-		// operators look at later.
+		// Started after the replica, so that the admin server does not delay an election,
+		// for which all entry VMs wait.
 		this.resources.push(new AdminServer(InnerConnection.parse(this.options.admin()), this.metrics, this::isReady));
 	}
 
@@ -175,8 +175,9 @@
 		}
 	}
 
-	// The membership is an entry, so that founders which begin with an empty log get it
-	// like any other; it is the same on all that found.
+	// The membership is written as a log entry, so that initial members that start with
+	// an empty log receive it by replication. All replicas that bootstrap write the same
+	// entry.
 	private void writeInitialMembership(Membership initialMembership) {
 		LogEntry first = new LogEntry(1, BOOTSTRAP_TERM, LogEntry.Kind.MEMBERSHIP,
 				MembershipCodec.encode(initialMembership));
@@ -190,8 +191,8 @@
 		Lazy<DoubleConsumer> commitSeconds = Lazy.of(() -> ControlMetrics.commitSeconds(this.metrics));
 		ReplicaLoop next = new ReplicaLoop("replica-" + this.options.vm(), driver,
 				(seconds) -> commitSeconds.get().accept(seconds), this.ended::complete);
-		// First of all: others wait for this replica's vote, and while an election runs
-		// the rest gets ready.
+		// Started first: other replicas wait for this replica's vote, and the services
+		// are set up while an election runs.
 		next.start();
 		this.replicaHandler.start(next, outbox);
 		this.loop = Optional.of(next);
@@ -237,10 +238,11 @@
 	}
 
 	/**
-	 * Return whether this replica takes part, with the place among the members that it
-	 * will keep, and has known the latest state once. Whoever replaces control VMs one by
-	 * one goes on when the last one is ready: a replica that joined with an empty folder
-	 * and is a learner yet would leave the others without a quorum.
+	 * Return whether this replica has a leader, has its final role in the membership, and
+	 * has caught up with the latest state once. A rolling replacement of control VMs
+	 * proceeds once the last one is ready: if a replica that joined with an empty data
+	 * folder were ready while still a learner, stopping the next VM could leave the
+	 * others without a quorum.
 	 * @return whether it is ready
 	 */
 	public boolean isReady() {
@@ -252,15 +254,15 @@
 	}
 
 	/**
-	 * Return what hands manifests in and reads them.
-	 * @return the store, once the founding is decided
+	 * Return the store that submits and reads manifests.
+	 * @return the store, once bootstrap is complete
 	 */
 	public Optional<ConfigurationStore> configuration() {
 		return this.configuration;
 	}
 
 	/**
-	 * Return whether this replica leads.
+	 * Return whether this replica is the leader.
 	 * @return whether it is the leader
 	 */
 	public boolean isLeader() {
@@ -268,19 +270,19 @@
 	}
 
 	/**
-	 * Return the end of the daemon by a fault.
-	 * @return completes with the code when the replica had to stop
+	 * Return a future that completes when a fault ends the daemon.
+	 * @return the future, which completes with the code of the fault
 	 */
 	public CompletableFuture<ResultCode> ended() {
 		return this.ended;
 	}
 
 	/**
-	 * Hand the leadership over, then stop.
+	 * Transfer the leadership, then stop.
 	 */
 	public synchronized void stop() {
 		this.stopping = true;
-		// While this VM still leads, so that the lease can be given back.
+		// Closed while this VM still leads, so that the lease can be released.
 		this.orderLoop.ifPresent(OrderWriterLoop::close);
 		this.orderLoop = Optional.empty();
 		try {
@@ -295,7 +297,7 @@
 	}
 
 	/**
-	 * Stop without handing the leadership over.
+	 * Stop without transferring the leadership.
 	 */
 	synchronized void abort() {
 		this.stopping = true;
--- a/daemon/src/main/java/org/acaciacourse/daemon/control/ControlException.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/control/ControlException.java
@@ -6,7 +6,8 @@
 import org.acaciacourse.core.code.ResultCode;
 
 /**
- * A call that could not be served here.
+ * Thrown if this replica cannot serve a call. It carries the leader's address if that is
+ * known and another replica leads.
  * <p>
  * Immutable and thread safe.
  */
--- a/daemon/src/main/java/org/acaciacourse/daemon/control/ControlHandler.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/control/ControlHandler.java
@@ -34,9 +34,9 @@
 import org.apache.thrift.TException;
 
 /**
- * Serves entries and operators: checks the key, then hands on. A call with a wrong key
- * gets {@link ResultCode#OPERATOR_UNKNOWN}, or its connection ends if its answer has no
- * place for a code.
+ * Serves entry VMs and operators: checks the key, then delegates to the services. A call
+ * with a wrong key gets {@link ResultCode#OPERATOR_UNKNOWN}, or its connection is closed
+ * if the type of the reply has no result code.
  * <p>
  * Thread safe.
  */
@@ -49,8 +49,9 @@
 	private final SharedKey operatorKey;
 
 	/**
-	 * How long a poll waits for a replica that has just started to begin: it listens some
-	 * tens of milliseconds before. An entry that is turned away pauses for longer.
+	 * How long a poll waits until a replica that has just started can serve it: the
+	 * server listens some tens of milliseconds earlier. An entry VM that is refused
+	 * pauses for longer than that.
 	 */
 	private static final long START_WAIT_MILLIS = 200;
 
@@ -64,16 +65,16 @@
 	}
 
 	/**
-	 * The data folder is empty: whoever polls is turned away at once until the replica
-	 * has joined the others, which takes longer than a poll should wait.
+	 * Refuse polls at once until the replica has been started. Called for an empty data
+	 * folder, as joining the others takes longer than a poll should wait.
 	 */
 	void bootstrapPending() {
 		this.pollGate.countDown();
 	}
 
 	/**
-	 * The founding is decided: serve.
-	 * @param next what calls are handed to
+	 * Start to serve, once bootstrap is complete.
+	 * @param next the services that handle the calls
 	 */
 	void start(Services next) {
 		this.services = Optional.of(next);
@@ -208,13 +209,13 @@
 	}
 
 	/**
-	 * What calls are handed to.
+	 * The services that handle the calls.
 	 *
 	 * @param loop the replica's loop
-	 * @param apply takes manifests
-	 * @param poll answers polls
-	 * @param status tells the status
-	 * @param registry the entries that poll
+	 * @param apply applies manifests
+	 * @param poll responds to polls
+	 * @param status reports the status
+	 * @param registry the entry VMs that poll
 	 * @param fleet the endpoints that the platform lists
 	 */
 	record Services(ReplicaLoop loop, ApplyService apply, PollService poll, StatusService status,
--- a/daemon/src/main/java/org/acaciacourse/daemon/control/ControlMetrics.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/control/ControlMetrics.java
@@ -12,7 +12,7 @@
 import org.acaciacourse.daemon.telemetry.ProcessMetrics;
 
 /**
- * Metrics of a control VM, read from what the replica published.
+ * Metrics of a control VM, read from the latest view of the replica.
  * <p>
  * Thread safe: it has no state.
  */
@@ -22,9 +22,10 @@
 	}
 
 	/**
-	 * Make the histogram of commits.
+	 * Register the histogram of commit times.
 	 * @param registry the registry
-	 * @return takes the seconds from a proposal to its result, if it was committed
+	 * @return the consumer of the seconds from a proposal to its result, called for
+	 * committed proposals only
 	 */
 	static DoubleConsumer commitSeconds(PrometheusRegistry registry) {
 		Histogram seconds = Histogram.builder()
--- a/daemon/src/main/java/org/acaciacourse/daemon/control/ControlOptions.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/control/ControlOptions.java
@@ -12,31 +12,32 @@
 import org.acaciacourse.daemon.inner.SharedKey;
 
 /**
- * What a control daemon is started with.
+ * The options of a control daemon.
  * <p>
  * Immutable and thread safe.
  *
  * @param vm the name of the VM
- * @param address where the other VMs reach its inner server
- * @param admin the address of health and metrics
- * @param initial the addresses of the founders, of this one too if it is one
+ * @param address the address of its internal server, for the other VMs
+ * @param admin the address of the admin server, for health and metrics
+ * @param initial the addresses of the initial members, which may include this VM
  * @param data the data folder
- * @param innerKey the key of the inner connections
+ * @param innerKey the key of the internal connections
  * @param operatorKey the key of the operators
- * @param platformList file or address of the platform's list, if there is one
- * @param orders whether this VM may write orders to engines
- * @param timing the replica's times and bounds
- * @param snapshotEntries after how many entries a snapshot is made
+ * @param platformList the file or HTTP address of the platform's list, if any
+ * @param orders whether this VM may send orders to engines
+ * @param timing the intervals and size limits of the replica
+ * @param snapshotEntries the number of log entries between two snapshots
  * @param mayBootstrap whether this is the first start of the whole system, so that a
- * replica with an empty data folder may found the log
- * @param fleet reads the platform's list of endpoints, if entries serve routes
- * @param seeds yields the control VMs that the settings name at present
+ * replica with an empty data folder may bootstrap the log
+ * @param fleet reads the platform's list of endpoints, present if entry VMs serve routes
+ * @param seeds supplies the addresses of the control VMs that the settings list at
+ * present
  */
 public record ControlOptions(String vm, String address, String admin, List<String> initial, Path data,
 		SharedKey innerKey, SharedKey operatorKey, Optional<String> platformList, boolean orders, ReplicaTiming timing,
 		long snapshotEntries, boolean mayBootstrap, Optional<FleetSource> fleet, Supplier<List<String>> seeds) {
 
-	/** After how many entries a snapshot is made unless told otherwise. */
+	/** The default number of log entries between two snapshots. */
 	public static final long SNAPSHOT_ENTRIES = 20_000;
 
 	public ControlOptions {
@@ -44,18 +45,19 @@
 	}
 
 	/**
-	 * Make options for a system that serves no routes and whose founders do not change.
+	 * Create options for a system that serves no routes and whose initial members do not
+	 * change.
 	 * @param vm the name of the VM
-	 * @param address where the other VMs reach its inner server
-	 * @param admin the address of health and metrics
-	 * @param initial the addresses of the founders, of this one too if it is one
+	 * @param address the address of its internal server, for the other VMs
+	 * @param admin the address of the admin server, for health and metrics
+	 * @param initial the addresses of the initial members, which may include this VM
 	 * @param data the data folder
-	 * @param innerKey the key of the inner connections
+	 * @param innerKey the key of the internal connections
 	 * @param operatorKey the key of the operators
-	 * @param platformList file or address of the platform's list, if there is one
-	 * @param orders whether this VM may write orders to engines
-	 * @param timing the replica's times and bounds
-	 * @param snapshotEntries after how many entries a snapshot is made
+	 * @param platformList the file or HTTP address of the platform's list, if any
+	 * @param orders whether this VM may send orders to engines
+	 * @param timing the intervals and size limits of the replica
+	 * @param snapshotEntries the number of log entries between two snapshots
 	 */
 	public ControlOptions(String vm, String address, String admin, List<String> initial, Path data, SharedKey innerKey,
 			SharedKey operatorKey, Optional<String> platformList, boolean orders, ReplicaTiming timing,
--- a/daemon/src/main/java/org/acaciacourse/daemon/control/EntryRegistry.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/control/EntryRegistry.java
@@ -13,15 +13,16 @@
 import org.acaciacourse.protocol.generated.PollRequest;
 
 /**
- * The entry VMs that poll this control VM, and what the other control VMs told of theirs.
- * An entry that moved is listed once, as it was seen last. Invariant: at most
- * {@value #MAX_ENTRIES} entries are kept.
+ * The entry VMs that poll this control VM, and those that the other control VMs reported.
+ * An entry VM that has moved to another control VM is listed once, with its latest
+ * status. One run of an entry VM's process is identified by its owner string. Invariant:
+ * at most {@value #MAX_ENTRIES} entry VMs are kept for each control VM.
  * <p>
  * Thread safe.
  */
 final class EntryRegistry {
 
-	/** An entry is silent after so long without a poll. */
+	/** An entry VM expires after this time without a poll. */
 	static final long EXPIRY_MILLIS = 10_000;
 
 	static final int MAX_ENTRIES = 4096;
@@ -31,8 +32,8 @@
 	private final Map<String, Map<String, EntryStatus>> peerEntries = new HashMap<>();
 
 	/**
-	 * An entry polled.
-	 * @param poll its poll
+	 * Record a poll of an entry VM.
+	 * @param poll the poll
 	 * @param now the wall-clock time in milliseconds
 	 */
 	synchronized void recordPoll(PollRequest poll, long now) {
@@ -46,8 +47,8 @@
 	}
 
 	/**
-	 * An entry is still there, at the end of its long poll.
-	 * @param owner its run
+	 * Update the time an entry VM was last seen, at the end of its long poll.
+	 * @param owner the run of the entry VM
 	 * @param now the wall-clock time in milliseconds
 	 */
 	synchronized void refreshLastSeen(String owner, long now) {
@@ -58,9 +59,10 @@
 	}
 
 	/**
-	 * Another control VM told of its entries.
-	 * @param address the address of that VM
-	 * @param entries its entries, with their age in place of the time they were seen
+	 * Replace the entry VMs that another control VM reported.
+	 * @param address the address of that control VM
+	 * @param entries its entry VMs, with the age in milliseconds in place of the time
+	 * last seen
 	 * @param now the wall-clock time in milliseconds
 	 */
 	synchronized void updateFromPeer(String address, List<EntryStatus> entries, long now) {
@@ -73,11 +75,11 @@
 	}
 
 	/**
-	 * Return the own entries for another control VM. Clocks of VMs differ, so ages are
-	 * told, not times.
-	 * @param withReports whether to add the results per class
+	 * Return the entry VMs that poll this control VM, for another control VM. The clocks
+	 * of VMs differ, so ages are sent instead of times.
+	 * @param withReports whether to include the results per class
 	 * @param now the wall-clock time in milliseconds
-	 * @return the entries, with their age in place of the time they were seen
+	 * @return the entry VMs, with the age in milliseconds in place of the time last seen
 	 */
 	synchronized List<EntryStatus> localEntries(boolean withReports, long now) {
 		return this.localEntries.values()
@@ -94,9 +96,9 @@
 	}
 
 	/**
-	 * Return all live entries that are known here.
+	 * Return all live entry VMs that this control VM knows.
 	 * @param now the wall-clock time in milliseconds
-	 * @return the entries, each as it was seen last
+	 * @return the entry VMs, each with its latest status
 	 */
 	synchronized List<EntryStatus> liveEntries(long now) {
 		Map<String, EntryStatus> latest = new HashMap<>(this.localEntries);
@@ -110,7 +112,7 @@
 	}
 
 	/**
-	 * Return the runs of entry VMs that are alive.
+	 * Return the runs of the live entry VMs.
 	 * @param now the wall-clock time in milliseconds
 	 * @return the owners
 	 */
@@ -121,10 +123,10 @@
 	}
 
 	/**
-	 * Return the live entries that take the load of others.
-	 * @param owner the run of the entry that asks, which is left out
+	 * Return the live entry VMs that receive load digests of others.
+	 * @param owner the run of the requesting entry VM, which is left out
 	 * @param now the wall-clock time in milliseconds
-	 * @return the entries in the order of their addresses
+	 * @return the entry VMs, sorted by address
 	 */
 	List<LoadPeer> loadPeers(String owner, long now) {
 		Map<String, LoadPeer> peers = new TreeMap<>();
--- a/daemon/src/main/java/org/acaciacourse/daemon/control/FleetKeeper.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/control/FleetKeeper.java
@@ -15,10 +15,10 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Keeps the fleet on a control VM. Only the leader reads the platform's list, which is
- * bounded and priced; the others wait at the leader for news. One that hears nothing from
- * a leader reads the list itself, so that entries learn of leaving endpoints also while
- * no leader is found.
+ * Keeps the current fleet on a control VM. Only the leader reads the platform's list, as
+ * calls for it are limited and priced; the other control VMs fetch changes from the
+ * leader by long polls. A control VM that gets no reply from a leader reads the list
+ * itself, so that entry VMs learn of leaving endpoints even while there is no leader.
  * <p>
  * Thread safe.
  */
@@ -27,15 +27,15 @@
 	private static final Logger LOGGER = LogManager.getLogger(FleetKeeper.class);
 
 	/**
-	 * How often the list is read. It lags by some 0.8 s, and an endpoint that is leaving
-	 * takes requests for 3 s more.
+	 * The delay between two reads of the list. The list lags by some 0.8 s, and a leaving
+	 * endpoint accepts requests for another 3 s.
 	 */
 	private static final long PERIOD_MILLIS = 700;
 
-	/** How long a follower's question waits for news at the leader. */
+	/** The length of a follower's long poll at the leader. */
 	private static final long LEADER_WAIT_MILLIS = 1_000;
 
-	/** A fleet that was not confirmed for so long is not told to entries any more. */
+	/** A fleet that has not been confirmed for this long is no longer served. */
 	private static final long MAX_AGE_NANOS = TimeUnit.MILLISECONDS.toNanos(2_500);
 
 	private final ReplicaLoop loop;
@@ -122,8 +122,9 @@
 	}
 
 	/**
-	 * Return the fleet.
-	 * @return the fleet, {@link Fleet#NONE} if it was not confirmed lately
+	 * Return the current fleet.
+	 * @return the fleet, or {@link Fleet#NONE} if its last confirmation is older than
+	 * {@link #MAX_AGE_NANOS}
 	 */
 	synchronized Fleet current() {
 		return (System.nanoTime() - this.confirmedAt < MAX_AGE_NANOS) ? this.fleet : Fleet.NONE;
@@ -131,9 +132,9 @@
 
 	/**
 	 * Wait for a fleet with another revision.
-	 * @param revision the revision that the asker knows
-	 * @param millis the longest time
-	 * @return the fleet, the same one when the time is over
+	 * @param revision the revision that the requesting VM has
+	 * @param millis the longest wait in milliseconds
+	 * @return the fleet, with the same revision if the wait timed out
 	 * @throws InterruptedException if the thread is interrupted
 	 */
 	synchronized Fleet await(long revision, long millis) throws InterruptedException {
--- a/daemon/src/main/java/org/acaciacourse/daemon/control/FleetSource.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/control/FleetSource.java
@@ -15,7 +15,7 @@
 	/**
 	 * Read the whole list.
 	 * @return the fleet
-	 * @throws IOException if the list, or a page of it, can't be had
+	 * @throws IOException if the list, or a page of it, cannot be read
 	 * @throws InterruptedException if the thread is interrupted
 	 */
 	Fleet read() throws IOException, InterruptedException;
--- a/daemon/src/main/java/org/acaciacourse/daemon/control/LinearizableRead.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/control/LinearizableRead.java
@@ -8,8 +8,8 @@
 import org.acaciacourse.protocol.generated.ReadIndexReply;
 
 /**
- * Makes this replica's state good for a linearizable read: asks the leader for the read
- * index and waits until it is applied here. A follower serves such reads too.
+ * Prepares this replica's state for a linearizable read: requests the read index from the
+ * leader and waits until this replica has applied it. Followers serve such reads too.
  * <p>
  * Thread safe.
  */
@@ -18,8 +18,9 @@
 	private static final long APPLY_WAIT_MILLIS = 3000;
 
 	/**
-	 * How long a read waits for a leader: about as long as an election after a start. An
-	 * entry that is refused pauses, and asks another control VM that knows no more.
+	 * How long a read waits for a leader: about the length of an election after a start.
+	 * An entry VM that is refused pauses, then polls another control VM, which has no
+	 * leader either.
 	 */
 	private static final long LEADER_WAIT_MILLIS = 150;
 
@@ -36,8 +37,8 @@
 	}
 
 	/**
-	 * Wait until what was committed before this call is applied here.
-	 * @return whether it is
+	 * Wait until this replica has applied everything that was committed before this call.
+	 * @return whether it has
 	 * @throws InterruptedException if the thread is interrupted
 	 */
 	boolean await() throws InterruptedException {
--- a/daemon/src/main/java/org/acaciacourse/daemon/control/LoopEvent.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/control/LoopEvent.java
@@ -10,7 +10,7 @@
 import org.acaciacourse.core.state.ControlState;
 
 /**
- * What other threads hand to the replica's thread.
+ * An event that other threads queue for the replica's thread.
  * <p>
  * Immutable and thread safe.
  */
@@ -25,10 +25,10 @@
 	}
 
 	/**
-	 * A command to commit.
+	 * A command to propose and commit.
 	 *
-	 * @param factory makes it from the state at the time of the proposal
-	 * @param result gets the result, or fails with a {@link ControlException}
+	 * @param factory creates the command from the state at the time of the proposal
+	 * @param result completes with the result, or fails with a {@link ControlException}
 	 */
 	record Propose(CommandFactory factory, CompletableFuture<CommandResult> result) implements LoopEvent {
 	}
@@ -36,16 +36,16 @@
 	/**
 	 * A linearizable read.
 	 *
-	 * @param index gets the entry that has to be applied before the read
+	 * @param index completes with the index that must be applied before the read
 	 */
 	record Read(CompletableFuture<Long> index) implements LoopEvent {
 	}
 
 	/**
-	 * A query of the state as it is here.
+	 * A query of the local state, which may lag behind the leader's.
 	 *
 	 * @param query the query
-	 * @param result gets its result
+	 * @param result completes with the result of the query
 	 * @param <T> the type of the result
 	 */
 	record Query<T>(Function<ControlState, T> query, CompletableFuture<T> result) implements LoopEvent {
@@ -57,29 +57,29 @@
 	}
 
 	/**
-	 * An empty replica asks to join.
+	 * A request to join, from a replica that is not a member.
 	 *
 	 * @param member the replica
-	 * @param accepted gets whether it is noted
+	 * @param accepted completes with whether the request was recorded
 	 */
 	record Join(Member member, CompletableFuture<Boolean> accepted) implements LoopEvent {
 	}
 
 	/**
-	 * Hand the leadership over.
+	 * A request to transfer the leadership to another replica.
 	 */
 	record Transfer() implements LoopEvent {
 	}
 
 	/**
-	 * Makes a command from the state in force.
+	 * Creates a command from the current state.
 	 */
 	@FunctionalInterface
 	interface CommandFactory {
 
 		/**
-		 * Make the command.
-		 * @param state the state, not to be changed
+		 * Create the command.
+		 * @param state the state, which must not be changed
 		 * @param now the wall-clock time in milliseconds since the epoch
 		 * @return the command
 		 */
--- a/daemon/src/main/java/org/acaciacourse/daemon/control/ManifestView.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/control/ManifestView.java
@@ -12,9 +12,9 @@
 import org.acaciacourse.core.state.ControlState;
 
 /**
- * The manifest in force at this VM's replica, read anew when its number changes.
+ * The current manifest of this VM's replica, read again when its number has increased.
  * <p>
- * Not thread safe: one thread asks.
+ * Not thread safe: it is used by one thread.
  */
 final class ManifestView implements Supplier<Optional<Manifest>> {
 
--- a/daemon/src/main/java/org/acaciacourse/daemon/control/OrderLease.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/control/OrderLease.java
@@ -10,7 +10,7 @@
 import org.acaciacourse.daemon.order.OrderWriterLoop;
 
 /**
- * Asks for the lease of the writer of orders by this VM's own replica.
+ * Acquires the lease for writing engine orders through this VM's own replica.
  * <p>
  * Thread safe.
  */
--- a/daemon/src/main/java/org/acaciacourse/daemon/control/PeerCalls.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/control/PeerCalls.java
@@ -9,8 +9,8 @@
 import org.apache.thrift.TException;
 
 /**
- * Calls another control VM over a connection of its own. Such calls are rare; a fresh
- * connection cannot be one that went silent.
+ * Calls another control VM, each time over a new connection. Such calls are rare, and a
+ * new connection cannot be a stale one.
  * <p>
  * Thread safe: it has no state.
  */
@@ -24,11 +24,11 @@
 	}
 
 	/**
-	 * Make a call.
-	 * @param <T> the type of the answer
+	 * Make a call on a new connection.
+	 * @param <T> the type of the response
 	 * @param address the address of the VM
 	 * @param call the call
-	 * @return the answer, if there was one in time
+	 * @return the response, empty if the call failed or timed out
 	 */
 	static <T> Optional<T> call(String address, Call<T> call) {
 		try (InnerConnection connection = InnerConnection.open(address, TIMEOUT)) {
@@ -43,7 +43,7 @@
 	/**
 	 * A call on a connection.
 	 *
-	 * @param <T> the type of the answer
+	 * @param <T> the type of the response
 	 */
 	@FunctionalInterface
 	interface Call<T> {
@@ -51,8 +51,8 @@
 		/**
 		 * Make the call.
 		 * @param connection the connection
-		 * @return the answer
-		 * @throws TException if there is none
+		 * @return the response
+		 * @throws TException if the call fails
 		 */
 		T execute(InnerConnection connection) throws TException;
 
--- a/daemon/src/main/java/org/acaciacourse/daemon/control/PeerOutbox.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/control/PeerOutbox.java
@@ -14,10 +14,10 @@
 import org.acaciacourse.protocol.generated.ReplicaEnvelope;
 
 /**
- * Hands messages to one sender for each address. A replica that is not listed yet answers
- * to the address that the call came with.
+ * Passes messages to one sender per address. A replica that is not listed in the
+ * membership yet responds to the address that was given in the call.
  * <p>
- * Not thread safe, but for {@link #recordAddress}: the replica's thread calls it.
+ * Not thread safe, except for {@link #recordAddress}: only the replica's thread calls it.
  */
 final class PeerOutbox implements ReplicaDriver.Outbox, AutoCloseable {
 
@@ -39,7 +39,7 @@
 	}
 
 	/**
-	 * Note where a replica can be reached.
+	 * Record the address of a replica.
 	 * @param id the replica
 	 * @param address its address
 	 */
@@ -76,7 +76,7 @@
 		this.senders.values().forEach(PeerSender::close);
 	}
 
-	/** A message that waits for the sync. */
+	/** A message that is buffered until the next flush. */
 	private record Pending(Member to, ReplicaMessage message) {
 	}
 
--- a/daemon/src/main/java/org/acaciacourse/daemon/control/PeerSender.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/control/PeerSender.java
@@ -14,10 +14,10 @@
 import org.jctools.queues.MpscBlockingConsumerArrayQueue;
 
 /**
- * Sends messages to one address: a thread with a bounded ring. The other end answers each
- * call, so a connection that went silent shows as a timeout and is replaced; what was
- * under way is lost, which the log permits. A full ring drops new messages for the same
- * reason.
+ * Sends messages to one address, with a thread and a bounded queue. The peer responds to
+ * each call, so a dead connection is detected by a time-out and replaced. The messages in
+ * flight are then lost, which the replication protocol tolerates; for the same reason a
+ * full queue drops new messages.
  * <p>
  * Thread safe.
  */
@@ -32,11 +32,11 @@
 	private static final int MAX_BATCH = 64;
 
 	/**
-	 * The pause after a connection that failed, in which messages are dropped. After a
-	 * loss of power all control VMs start within some tenths of a second: a peer that
-	 * listens by then hears nothing of votes and of a new leader for that long, and
-	 * refuses entries meanwhile. Heartbeats are further apart, so that a peer that stays
-	 * away costs one try each.
+	 * The delay before reconnecting after a failure; messages are dropped meanwhile.
+	 * After a power failure all control VMs start within some tenths of a second: for the
+	 * length of this delay, a peer that has started to listen receives no votes and no
+	 * messages of a new leader, and refuses entry VMs. Heartbeats are further apart than
+	 * the delay, so an unreachable peer costs one attempt per heartbeat.
 	 */
 	private static final long RECONNECT_DELAY_MILLIS = 25;
 
--- a/daemon/src/main/java/org/acaciacourse/daemon/control/PeriodicTask.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/control/PeriodicTask.java
@@ -7,8 +7,8 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * A thread for one duty that comes again and again. A fault of one round is logged and
- * the next round runs.
+ * A thread that runs a task periodically, with a fixed delay between runs. An exception
+ * of one run is logged and does not prevent the next one.
  * <p>
  * Thread safe.
  */
--- a/daemon/src/main/java/org/acaciacourse/daemon/control/PlatformList.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/control/PlatformList.java
@@ -22,11 +22,11 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Reads the platform's list of VMs and endpoints each second. Only what the list says
- * outright counts: an endpoint is {@code leaving}, {@code gone} or {@code live}. One that
- * is missing from it keeps what was said of it last, and a list that can't be read says
- * nothing, so that a stale, cut or empty list neither empties the fleet nor sends work to
- * an endpoint that is leaving.
+ * Reads the platform's list of VMs and endpoints every second. Only explicit states
+ * count: {@code leaving}, {@code gone} or {@code live}. An endpoint that is missing from
+ * the list keeps its last state, and a list that cannot be read changes nothing, so that
+ * a stale, truncated or empty list neither removes endpoints from service nor sends
+ * requests to a leaving endpoint.
  * <p>
  * Thread safe.
  */
@@ -55,8 +55,8 @@
 	}
 
 	/**
-	 * Begin to read.
-	 * @param onChange called when the list says something new
+	 * Start to read the list periodically.
+	 * @param onChange called when a notice has changed
 	 */
 	void start(Runnable onChange) {
 		if (this.source.isPresent()) {
@@ -90,9 +90,9 @@
 	}
 
 	/**
-	 * Take a list.
+	 * Apply a list.
 	 * @param json the text of the list
-	 * @throws IOException if it is none
+	 * @throws IOException if the text is not a valid list
 	 */
 	void update(String json) throws IOException {
 		if (json.length() > MAX_BYTES) {
@@ -124,7 +124,7 @@
 	}
 
 	/**
-	 * Return what the list says against endpoints.
+	 * Return the notices of endpoints that are not live.
 	 * @return a notice for each endpoint that is leaving or gone
 	 */
 	List<EndpointNotice> notices() {
--- a/daemon/src/main/java/org/acaciacourse/daemon/control/PollService.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/control/PollService.java
@@ -21,10 +21,10 @@
 import org.acaciacourse.protocol.generated.Result;
 
 /**
- * Answers the long polls of entries, on any replica. An answer carries the delta from
- * what the entry has, or the whole if the delta is not known here. All that the
- * platform's list says against endpoints goes with every answer, so that a lost answer
- * loses nothing.
+ * Responds to the long polls of entry VMs, on any replica. A reply contains the delta
+ * from the manifest that the entry VM has, or the complete manifest if this replica
+ * cannot compute the delta. Every reply contains all notices from the platform's list, so
+ * that a lost reply loses nothing.
  * <p>
  * Thread safe.
  */
@@ -42,7 +42,7 @@
 
 	private final FleetKeeper fleet;
 
-	/** The board's revision that each entry was answered with last. */
+	/** The revision of {@link ReplicaViewMonitor} at the last reply to each run. */
 	private final Map<String, Long> lastRevisions = new LinkedHashMap<>() {
 
 		private static final long serialVersionUID = 1L;
@@ -71,8 +71,9 @@
 			}
 			if (!request.isLatest()) {
 				awaitChange(request);
-				// Behind a cut the configuration stands still without a sign; an entry
-				// that reaches the others must not be kept on this VM.
+				// A replica on the minority side of a partition has a stale configuration
+				// without noticing it. An entry VM that can reach the other control VMs
+				// must not stay with this one.
 				if (this.loop.views().latest().status().leader().isEmpty()) {
 					return emptyReply(Replies.result(ResultCode.NO_QUORUM));
 				}
--- a/daemon/src/main/java/org/acaciacourse/daemon/control/RegistryExchange.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/control/RegistryExchange.java
@@ -20,13 +20,13 @@
 import org.acaciacourse.protocol.generated.Result;
 
 /**
- * The duties between control VMs that come again and again: fetch which entries poll the
- * others, end the runs of entries that are silent everywhere, and, on a replica that no
- * leader replicates to, ask to join.
+ * The periodic tasks between control VMs: fetch the entry VMs that poll the other control
+ * VMs, end the runs of entry VMs that poll none, and request to join on a replica that no
+ * leader replicates to.
  * <p>
- * A run that is ended may be alive behind a cut; that is harmless. Its claims become
- * unknown, never not run, so nobody sends such a request again, and the run may still
- * complete them with its answer.
+ * A run may be ended while its entry VM is alive on the other side of a network
+ * partition. This is harmless: its claims become unknown, never not run, so that such a
+ * request is not sent again, and the run can still complete them with its response.
  * <p>
  * Thread safe.
  */
@@ -34,7 +34,10 @@
 
 	private static final long PERIOD_MILLIS = 2000;
 
-	/** Kept short, as a replica outside the membership does not count for the quorum. */
+	/**
+	 * Kept short, since a replica outside the membership does not count towards the
+	 * quorum.
+	 */
 	private static final long JOIN_MILLIS = 400;
 
 	/** Limits the log of a replica that is not admitted to one line in four seconds. */
@@ -92,7 +95,8 @@
 			this.joinAttempts = 0;
 			return;
 		}
-		// The seeds may be gone; the members that this replica knew last may not.
+		// If the seeds no longer exist, the members that this replica knew last may still
+		// do.
 		Set<String> addresses = new LinkedHashSet<>(this.seeds.get());
 		view.membership().members().stream().map(Member::address).forEach(addresses::add);
 		addresses.remove(this.self.address());
@@ -128,8 +132,9 @@
 	}
 
 	/**
-	 * Fetch the entries of the others with their results and return all.
-	 * @return the live entries
+	 * Fetch the entry VMs of the other control VMs with their results, and return all
+	 * live ones.
+	 * @return the live entry VMs
 	 */
 	List<EntryStatus> fetchLiveWithReports() {
 		fetch(true);
@@ -145,7 +150,7 @@
 			this.leadingSince = now;
 		}
 		if (now - this.leadingSince < 2 * EntryRegistry.EXPIRY_MILLIS) {
-			// A new leader has not heard yet of all that are alive.
+			// A new leader may not know all live entry VMs yet.
 			return;
 		}
 		Set<String> alive = this.registry.liveOwners(now);
@@ -154,9 +159,9 @@
 	}
 
 	/**
-	 * Find the runs that hold claims in progress and are silent.
+	 * Return the runs that hold old claims in progress and poll no control VM.
 	 * @param state the state
-	 * @param alive the runs that poll somewhere
+	 * @param alive the runs that poll some control VM
 	 * @param now the wall-clock time in milliseconds
 	 * @return the runs to end
 	 */
--- a/daemon/src/main/java/org/acaciacourse/daemon/control/ReplicaDecisionLog.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/control/ReplicaDecisionLog.java
@@ -17,11 +17,11 @@
 /**
  * Writes a replica's role, membership and election events to the decision log.
  * <p>
- * Not thread safe: the replica's thread calls it.
+ * Not thread safe: only the replica's thread calls it.
  */
 final class ReplicaDecisionLog {
 
-	/** Limits the log of an election that stays undecided. */
+	/** The shortest interval between two log lines on an undecided election. */
 	private static final long ELECTION_LOG_NANOS = 2_000_000_000L;
 
 	private Optional<ReplicaView> lastWritten = Optional.empty();
@@ -33,8 +33,8 @@
 	}
 
 	/**
-	 * Write the role and the members if they changed since the last call. The first call
-	 * writes both.
+	 * Write the role and the members if they have changed since the last call. The first
+	 * call writes both.
 	 * @param next the current state of the replica
 	 */
 	void writeChanges(ReplicaView next) {
@@ -58,7 +58,7 @@
 	 * Write a membership change that this leader proposed.
 	 * @param current the membership before the change
 	 * @param next the membership after the change
-	 * @param manager tells how long a voter has been out of contact
+	 * @param manager provides how long a voter has been out of contact
 	 * @param term the leader's term
 	 */
 	void writeMembershipChange(Membership current, Membership next, MembershipManager manager, long term) {
@@ -70,9 +70,9 @@
 
 	/**
 	 * Write the votes of an undecided election, at most once in
-	 * {@link #ELECTION_LOG_NANOS}. The first interval begins at the replica's start.
+	 * {@link #ELECTION_LOG_NANOS}. The first interval starts when the replica starts.
 	 * @param granted the voters that granted their vote
-	 * @param membership the membership in force at the candidate
+	 * @param membership the candidate's current membership
 	 * @param term the candidate's term
 	 * @param now the time in nanoseconds
 	 */
--- a/daemon/src/main/java/org/acaciacourse/daemon/control/ReplicaDriver.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/control/ReplicaDriver.java
@@ -30,15 +30,15 @@
 import org.acaciacourse.daemon.store.StoreException;
 
 /**
- * Joins the replica, its store and the state machine. Events are gathered, what they ask
- * to persist is synced once, then the messages leave (group commit, DeWitt et al.,
- * "Implementation Techniques for Main Memory Database Systems", 1984): the rate of
- * commits is not bound by the rate of syncs.
+ * Connects the replica, its store and the state machine. Events are handled in batches;
+ * the writes of a batch are synced once, then its messages are sent (group commit, DeWitt
+ * et al., "Implementation Techniques for Main Memory Database Systems", 1984), so that
+ * the rate of commits is not limited by the rate of syncs.
  * <p>
- * Invariants: no message leaves before what was persisted before it is durable; each
- * committed entry is applied once, in order; each proposal and read ends once.
+ * Invariants: a message is sent only once all earlier writes are durable; each committed
+ * entry is applied once, in order; each proposal and read completes once.
  * <p>
- * Not thread safe: the replica's thread calls it.
+ * Not thread safe: only the replica's thread calls it.
  */
 final class ReplicaDriver implements ReplicaActions {
 
@@ -82,7 +82,7 @@
 
 	private long membershipCheckedAt;
 
-	/** Runs while this replica leads and has applied an entry of its term. */
+	/** Present while this replica leads and has applied an entry of its term. */
 	private Optional<ProposalClock> clock = Optional.empty();
 
 	private long leadingTerm;
@@ -108,9 +108,9 @@
 	}
 
 	/**
-	 * Take an event.
+	 * Handle an event.
 	 * @param event the event
-	 * @param now the time
+	 * @param now the monotonic time in nanoseconds
 	 */
 	void handle(LoopEvent event, long now) {
 		if (event instanceof LoopEvent.Received received) {
@@ -178,8 +178,8 @@
 	}
 
 	/**
-	 * Let time pass, sync what was asked to be persisted, then let the messages leave.
-	 * @param now the time
+	 * Run the replica's timers, sync the pending writes, then send the pending messages.
+	 * @param now the monotonic time in nanoseconds
 	 */
 	void step(long now) {
 		this.replica.tick(now);
@@ -243,7 +243,7 @@
 	}
 
 	/**
-	 * End all that waits, when the loop ends.
+	 * Fail all pending proposals and reads when the loop ends.
 	 */
 	void failPending() {
 		ControlException unknown = new ControlException(ResultCode.OUTCOME_UNKNOWN, Optional.empty());
@@ -346,25 +346,25 @@
 	}
 
 	/**
-	 * Gathers messages until they may leave.
+	 * Buffers messages until the preceding writes are durable.
 	 */
 	interface Outbox {
 
 		/**
-		 * Add a message.
+		 * Buffer a message.
 		 * @param to the receiver
 		 * @param message the message
 		 */
 		void add(Member to, ReplicaMessage message);
 
 		/**
-		 * Let all messages leave.
+		 * Send all buffered messages.
 		 */
 		void flush();
 
 	}
 
-	/** A proposal that waits for its entry. */
+	/** A proposal whose entry is not yet applied. */
 	private record Proposal(long id, CompletableFuture<CommandResult> result) {
 	}
 
--- a/daemon/src/main/java/org/acaciacourse/daemon/control/ReplicaHandler.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/control/ReplicaHandler.java
@@ -16,8 +16,9 @@
 import org.apache.thrift.TException;
 
 /**
- * Serves the other replicas. Before the founding is decided it answers only what it is;
- * it takes in no message, so that it cannot vote before it knows whether a log exists.
+ * Serves the other replicas. Until bootstrap is complete it only describes this replica
+ * and accepts no messages, so that the replica cannot vote before it knows whether a log
+ * exists.
  * <p>
  * Thread safe.
  */
@@ -35,9 +36,9 @@
 	}
 
 	/**
-	 * The founding is decided: take messages in.
+	 * Start to accept messages, once bootstrap is complete.
 	 * @param loop the replica's loop
-	 * @param outbox gets the addresses of senders
+	 * @param outbox records the addresses of senders
 	 */
 	void start(ReplicaLoop loop, PeerOutbox outbox) {
 		this.running = Optional.of(new Running(loop, outbox));
@@ -48,8 +49,8 @@
 		checkKey(sharedKey);
 		Running target = this.running.orElseThrow(() -> new TException("not founded"));
 		for (ReplicaEnvelope envelope : messages) {
-			// The address may have been another replica's, whose disk is lost: what was
-			// meant for that one must not be answered by this one.
+			// The address may have belonged to a replica whose disk was lost. This
+			// replica must not respond to messages that are addressed to that one.
 			if (envelope.getReceiver() == this.self.id().value()) {
 				ReplicaCodec.decode(envelope).forEach((message) -> {
 					target.outbox().recordAddress(message.from(), senderAddress);
@@ -85,7 +86,7 @@
 		}
 	}
 
-	/** What messages go to. */
+	/** The receivers of incoming messages. */
 	private record Running(ReplicaLoop loop, PeerOutbox outbox) {
 	}
 
--- a/daemon/src/main/java/org/acaciacourse/daemon/control/ReplicaLoop.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/control/ReplicaLoop.java
@@ -18,9 +18,9 @@
 import org.jctools.queues.MpscBlockingConsumerArrayQueue;
 
 /**
- * The replica's thread with its bounded ring. The thread alone touches the replica, the
- * state machine and the store. The first fault ends it: going on after a failed sync or a
- * broken invariant could answer for what is lost.
+ * The replica's thread with its bounded queue. Only this thread accesses the replica, the
+ * state machine and the store. The first fault ends it: after a failed sync or a broken
+ * invariant, the replica could acknowledge entries that are lost.
  * <p>
  * Thread safe.
  */
@@ -48,11 +48,11 @@
 	private volatile boolean stopping;
 
 	/**
-	 * Make a loop.
+	 * Create a loop.
 	 * @param name the name of its thread
 	 * @param driver the replica with its store
-	 * @param commitSeconds gets the seconds from each proposal to its commit
-	 * @param onFault gets the code of the fault that ended the loop
+	 * @param commitSeconds receives the seconds from each proposal to its commit
+	 * @param onFault receives the code of the fault that ended the loop
 	 */
 	ReplicaLoop(String name, ReplicaDriver driver, DoubleConsumer commitSeconds, Consumer<ResultCode> onFault) {
 		this.driver = driver;
@@ -67,7 +67,7 @@
 	}
 
 	/**
-	 * Stop and wait for the end of the thread.
+	 * Stop the loop and wait until its thread has ended.
 	 * @throws InterruptedException if the waiting thread is interrupted
 	 */
 	void stop() throws InterruptedException {
@@ -80,7 +80,8 @@
 	}
 
 	void receive(ReplicaMessage message) {
-		// A full ring drops the message: the sender repeats what matters.
+		// A full queue drops the message; the sender repeats messages that are still
+		// needed.
 		this.queue.offer(new LoopEvent.Received(message));
 	}
 
--- a/daemon/src/main/java/org/acaciacourse/daemon/control/ReplicaView.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/control/ReplicaView.java
@@ -4,14 +4,14 @@
 import org.acaciacourse.core.consensus.ReplicaStatus;
 
 /**
- * What the replica's thread shows to the others.
+ * The view of the replica that its thread publishes to other threads.
  * <p>
  * Immutable and thread safe.
  *
  * @param status role, term, leader and commit index
- * @param membership the membership in force
- * @param appliedIndex the last entry applied
- * @param number the number of the manifest in force
+ * @param membership the current membership
+ * @param appliedIndex the index of the last applied entry
+ * @param number the number of the current manifest
  * @param digest its digest
  * @param crashRevision the revision of the latest crash report
  * @param needsToJoin whether the replica should ask to join because no leader replicates
@@ -19,8 +19,8 @@
  */
 record ReplicaView(ReplicaStatus status, Membership membership, long appliedIndex, long number, String digest,
 		long crashRevision, boolean needsToJoin) {
-	// By hand, as the generated methods are put together at their first use: some tens of
-	// milliseconds, which callers wait for after a start.
+	// Written by hand: the methods generated for a record are linked at their first use,
+	// which takes some tens of milliseconds and would delay calls after a start.
 	@Override
 	public boolean equals(Object other) {
 		return this == other || (other instanceof ReplicaView that && this.status.equals(that.status)
--- a/daemon/src/main/java/org/acaciacourse/daemon/control/ReplicaViewMonitor.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/control/ReplicaViewMonitor.java
@@ -3,8 +3,7 @@
 import java.util.function.Predicate;
 
 /**
- * Holds what the replica's thread published last and wakes the threads that wait for it
- * to change.
+ * Holds the latest view of the replica and wakes the threads that wait for a change.
  * <p>
  * Thread safe.
  */
@@ -30,7 +29,8 @@
 	}
 
 	/**
-	 * Wake all that wait, for a change that lies beside the replicated state.
+	 * Increment the revision and wake all waiting threads, after a change outside the
+	 * replicated state.
 	 */
 	synchronized void signalChange() {
 		this.revision++;
@@ -47,10 +47,10 @@
 	}
 
 	/**
-	 * Wait until something is so.
-	 * @param condition what is waited for
-	 * @param millis the longest time
-	 * @return whether it is so
+	 * Wait until a condition holds.
+	 * @param condition the condition, tested after each change
+	 * @param millis the longest wait in milliseconds
+	 * @return whether the condition holds
 	 * @throws InterruptedException if the thread is interrupted
 	 */
 	synchronized boolean await(Predicate<ReplicaView> condition, long millis) throws InterruptedException {
--- a/daemon/src/main/java/org/acaciacourse/daemon/control/Replies.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/control/Replies.java
@@ -11,7 +11,7 @@
 import org.acaciacourse.protocol.generated.Result;
 
 /**
- * Helps to answer calls from futures of the replica's loop.
+ * Converts futures of the replica's loop and result codes to replies.
  * <p>
  * Thread safe: it has no state.
  */
@@ -25,10 +25,10 @@
 	}
 
 	/**
-	 * Wait for a future of the loop.
+	 * Wait for a future of the replica's loop.
 	 * @param <T> the type of its result
 	 * @param future the future
-	 * @return its result, or why there is none
+	 * @return its result, or the failure
 	 */
 	static <T> Either<ControlException, T> await(CompletableFuture<T> future) {
 		try {
@@ -52,7 +52,7 @@
 	}
 
 	/**
-	 * Make a result.
+	 * Create a result.
 	 * @param code its code
 	 * @return the struct
 	 */
@@ -62,7 +62,7 @@
 	}
 
 	/**
-	 * Make a result that tells where the leader is.
+	 * Create a result that includes the leader's address if it is known.
 	 * @param failure why the call was not served
 	 * @return the struct
 	 */
--- a/daemon/src/main/java/org/acaciacourse/daemon/control/StatusService.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/control/StatusService.java
@@ -12,13 +12,13 @@
 import org.acaciacourse.protocol.generated.StatusReply;
 
 /**
- * Tells operators the state of this replica and of all live entries.
+ * Reports the state of this replica and of all live entry VMs to operators.
  * <p>
  * Thread safe.
  */
 final class StatusService {
 
-	/** Name of the lease of the writer of engine orders. */
+	/** Name of the lease for writing engine orders. */
 	static final String ORDERS_LEASE = "engine-orders";
 
 	private final ReplicaLoop loop;
--- a/daemon/src/main/java/org/acaciacourse/daemon/control/package-info.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/control/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The control daemon: the replica's loop, its peers, the servers and the founding.
+ * The control daemon: the replica's loop, its peers, the servers and the bootstrap.
  */
 package org.acaciacourse.daemon.control;
--- a/daemon/src/test/java/org/acaciacourse/daemon/control/ControlCluster.java
+++ b/daemon/src/test/java/org/acaciacourse/daemon/control/ControlCluster.java
@@ -27,7 +27,7 @@
 import org.apache.thrift.TException;
 
 /**
- * Control daemons in this JVM over loopback.
+ * A cluster of control daemons in this JVM, connected over loopback.
  */
 public final class ControlCluster implements AutoCloseable {
 
@@ -138,7 +138,10 @@
 		this.daemons[i] = null;
 	}
 
-	/** Stop without the hand-over, as far as that goes within one process. */
+	/**
+	 * Stop without transferring the leadership: the nearest to a crash within one
+	 * process.
+	 */
 	void kill(int i) {
 		this.daemons[i].abort();
 		this.daemons[i] = null;
@@ -194,7 +197,7 @@
 		}
 	}
 
-	/** A small whole manifest. */
+	/** A small complete manifest. */
 	public static Map<String, Map<String, String>> manifest(long number, String className) {
 		Map<String, Map<String, String>> sections = new TreeMap<>();
 		sections.put("manifest", Map.of("number", Long.toString(number), "policy", "tiered"));
--- a/daemon/src/test/java/org/acaciacourse/daemon/control/ControlClusterTests.java
+++ b/daemon/src/test/java/org/acaciacourse/daemon/control/ControlClusterTests.java
@@ -63,9 +63,10 @@
 
 		@Test
 		void resentManifestGetsTheFirstReplyAndConflictsAreRefused() throws Exception {
-			// An operator's answer is lost and the pipeline sends the manifest again;
-			// it gets the answer of the first time. Another manifest with the same
-			// number and one with a lower number are refused with what is in force.
+			// The reply to an operator is lost and the pipeline resends the manifest: it
+			// must get the first reply again. Another manifest with the same number and
+			// one with a lower number are refused, with the current manifest in the
+			// reply.
 			try (ControlCluster cluster = cluster().startAll()) {
 				ApplyReply first = cluster.apply(ControlCluster.manifest(7, "urgent"));
 				assertOk(first);
@@ -81,8 +82,9 @@
 
 		@Test
 		void oneOfFourOperatorsWithEqualNumbersWins() throws Exception {
-			// Four operators hand in four manifests with the same number at once. Exactly
-			// one is accepted; the others are told which one, and every replica has it.
+			// Four operators submit different manifests with the same number
+			// concurrently. Exactly one must be accepted, the other replies must name its
+			// digest, and every replica must have it.
 			try (ControlCluster cluster = cluster().startAll()) {
 				List<CompletableFuture<ApplyReply>> replies = new ArrayList<>();
 				for (int i = 0; i < 4; i++) {
@@ -103,8 +105,8 @@
 
 		@Test
 		void leaderCrashLosesNothingAndTheOldLeaderCatchesUp() throws Exception {
-			// The leader dies after it has answered. The next one has the manifest, takes
-			// further ones, and the dead one comes back to the latest.
+			// The leader crashes after its reply. The next leader must have the manifest
+			// and accept further ones, and the old leader must catch up after a restart.
 			try (ControlCluster cluster = cluster().startAll()) {
 				assertOk(cluster.apply(ControlCluster.manifest(1, "urgent")));
 				int dead = cluster.leader();
@@ -131,10 +133,11 @@
 
 		@Test
 		void emptyFolderRejoinsAsANewReplicaAndASecondFailureLosesNothing() throws Exception {
-			// A VM loses its disk and comes back empty under the same settings, which
-			// list it as a founder. It must not found again nor vote as the old one: it
-			// joins as a learner, is promoted, and the old identity goes. Then a second
-			// VM dies for good, and everything committed is still there.
+			// A VM loses its disk and restarts with the same settings, which list it as
+			// an initial member. It must neither bootstrap again nor vote under its old
+			// identity: it joins as a learner, is promoted, and the old identity is
+			// removed. When further VMs fail afterwards, no committed manifest may be
+			// lost.
 			try (ControlCluster cluster = cluster().startAll()) {
 				assertOk(cluster.apply(ControlCluster.manifest(1, "urgent")));
 				int lost = (cluster.leader() + 1) % 3;
@@ -162,10 +165,9 @@
 
 		@Test
 		void replicaThatJoinsIsReadyAsAVoterOnly() throws Exception {
-			// A VM lost its disk and comes back empty. Its replica has a leader and the
-			// latest state while it is a learner yet; if it said then that it is ready,
-			// an
-			// operator would stop the next VM, and one voter of two would be left.
+			// A VM restarts after the loss of its disk. Its replica has a leader and the
+			// latest state while it is still a learner. If it reported ready then, an
+			// operator would stop the next VM and leave one voter of two.
 			try (ControlCluster cluster = cluster().startAll()) {
 				int lost = (cluster.leader() + 1) % 3;
 				cluster.kill(lost);
@@ -186,9 +188,8 @@
 
 		@Test
 		void emptyReplicaDoesNotBootstrapWhileAnInitialMemberIsDown() throws Exception {
-			// One VM lost its disk, and of the others one is dead and one not up yet. An
-			// empty replica that founded now would bring the configuration back to
-			// nothing.
+			// One VM has lost its disk and the other two are down. If the empty replica
+			// bootstrapped now, the configuration would be lost.
 			try (ControlCluster cluster = cluster().startAll()) {
 				assertOk(cluster.apply(ControlCluster.manifest(4, "urgent")));
 				int lost = cluster.leader();
--- a/daemon/src/test/java/org/acaciacourse/daemon/control/ControlHandlerTests.java
+++ b/daemon/src/test/java/org/acaciacourse/daemon/control/ControlHandlerTests.java
@@ -25,8 +25,9 @@
 		return Try.of(() -> this.handler.poll(key, request));
 	}
 
-	// A control VM lost its disk and joins the others, which takes seconds. An entry that
-	// it kept waiting would have its first configuration later than all others.
+	// A control VM that lost its disk takes seconds to join the others. If it kept a
+	// polling entry VM waiting, that one would get its first configuration later than all
+	// others.
 	@Test
 	void pollIsRefusedWhileBootstrapIsPending() {
 		this.handler.bootstrapPending();
@@ -34,7 +35,7 @@
 		assertThat(poll(KEY).getCause()).hasMessageThat().contains("not founded");
 	}
 
-	// Whoever does not know the key must not hold threads that entries need.
+	// A caller with a wrong key must not occupy threads that entry VMs need.
 	@Test
 	void pollWithAnotherKeyIsRefusedFirst() {
 		assertThat(poll("another").getCause()).hasMessageThat().contains("wrong key");
--- a/daemon/src/test/java/org/acaciacourse/daemon/control/EntryViewTests.java
+++ b/daemon/src/test/java/org/acaciacourse/daemon/control/EntryViewTests.java
@@ -37,8 +37,9 @@
 
 		@Test
 		void countsAnEntryOnceWhereverItPolls() {
-			// An entry leaves a silent control VM for another. For some seconds both list
-			// it; counted twice it would halve its customers' limits.
+			// An entry VM moves from an unresponsive control VM to another, and both list
+			// it for some seconds. If it were counted twice, its customers' limits would
+			// be halved.
 			EntryRegistry other = new EntryRegistry();
 			other.recordPoll(poll("entry-1", "run-1", 4), 1000);
 			this.registry.recordPoll(poll("entry-1", "run-1", 5), 3000);
@@ -66,9 +67,8 @@
 
 		@Test
 		void areThoseWithOldClaimsInProgressOnly() {
-			// An entry VM dies between the claim and the answer. Nobody polls with its
-			// run any more; its claims must become unknown, those of a living run must
-			// not.
+			// An entry VM crashes between the claim and the response, and its run stops
+			// polling. Its claims must become unknown, those of a live run must not.
 			ControlState state = new ControlState();
 			state.apply(1, new Command.Claim(1000, new ClaimKey("kumasi", "a"), "h", "entry-1/1#1"));
 			state.apply(2, new Command.Claim(1000, new ClaimKey("kumasi", "b"), "h", "entry-2/1#1"));
@@ -102,9 +102,9 @@
 
 		@Test
 		void ignoresAnEmptyOrInvalidList() throws Exception {
-			// The platform's list is empty or cut after a fault there. Taking it for the
-			// truth would take every endpoint out of service at once, or send work to one
-			// that is leaving.
+			// After a fault of the platform its list is empty or truncated. Applying it
+			// as complete would take every endpoint out of service at once, or send
+			// requests to a leaving one.
 			this.list.update("{\"endpoints\": [{\"name\": \"draftmind-2\", \"state\": \"leaving\"}]}");
 			List<EndpointNotice> before = this.list.notices();
 			this.list.update("{\"endpoints\": []}");
@@ -116,8 +116,9 @@
 
 		@Test
 		void changeEndsAWaitingPoll(@TempDir Path folder) throws Exception {
-			// The list marks an endpoint as leaving while an entry's poll is waiting; the
-			// poll is answered at once, and taken back when the list takes it back.
+			// The list marks an endpoint as leaving while an entry VM's long poll is
+			// waiting: the poll must return at once, and the notice must be withdrawn
+			// when the endpoint is live again.
 			Path file = folder.resolve("list.json");
 			Files.writeString(file, "{\"endpoints\": []}");
 			try (ControlCluster cluster = new ControlCluster(folder, 1).platformList(file).startAll();
@@ -134,7 +135,7 @@
 
 	}
 
-	/** Notes the latest status. */
+	/** Records the latest status. */
 	private static final class StatusRecorder implements ControlLink.Listener {
 
 		private volatile EndpointStatus last;
--- a/daemon/src/test/java/org/acaciacourse/daemon/control/FleetKeeperTests.java
+++ b/daemon/src/test/java/org/acaciacourse/daemon/control/FleetKeeperTests.java
@@ -70,8 +70,8 @@
 		}
 	}
 
-	// Calls for the list are bounded for all VMs together and priced. Only the leader
-	// reads it; an entry gets the same fleet from whichever control VM it polls.
+	// Calls for the list are limited for all VMs together and priced, so only the leader
+	// reads it. An entry VM must get the same fleet from every control VM that it polls.
 	@Test
 	void onlyTheLeaderReadsTheListAndEveryVmServesIt() {
 		for (int i = 0; i < VMS; i++) {
@@ -103,9 +103,9 @@
 		assertThat(reply.getFleetRevision()).isEqualTo(this.listedFleet.revision());
 	}
 
-	// The platform's list can't be read any more. What control knows grows old, and an
-	// endpoint may have left meanwhile; control says that it knows nothing, so that
-	// entries try to read the list themselves.
+	// When the platform's list can no longer be read, the fleet becomes stale and an
+	// endpoint may have left. The control VM must then report no fleet, so that entry VMs
+	// try to read the list themselves.
 	@Test
 	void expiredFleetIsNotServed() {
 		ControlCluster.await("the fleet", () -> poll(0, 0).isSetFleet());
--- a/daemon/src/test/java/org/acaciacourse/daemon/control/FoundingTests.java
+++ b/daemon/src/test/java/org/acaciacourse/daemon/control/FoundingTests.java
@@ -33,11 +33,9 @@
 	@Nested
 	class AnEmptyReplica {
 
-		// The VM lost its disk and starts again with an empty folder; the settings still
-		// name
-		// the founders, and those that answer are as empty as it is. A second founding
-		// would
-		// bring the configuration back to nothing.
+		// The VM restarts after the loss of its disk; its settings still list the initial
+		// members, and those that respond are empty too. A second bootstrap would lose
+		// the configuration.
 		@Test
 		void doesNotBootstrapAtALaterStart() {
 			List<PeerDescription> others = List.of(description(3, false), description(2, false));
@@ -56,8 +54,9 @@
 
 		@Test
 		void doesNotBootstrapIfALogExistsOrAnInitialMemberDoesNotRespond() {
-			// It may have lost its disk. One answer of a founded replica is enough to
-			// know that a log exists; a silent founder may hold one.
+			// The replica may have lost its disk. One response of a replica with a log
+			// proves that a log exists, and an initial member that does not respond may
+			// hold one.
 			assertThat(decide(SELF, INITIAL, List.of(description(2, true))).step()).isEqualTo(Step.JOIN);
 			assertThat(decide(SELF, INITIAL, List.of(description(2, false), description(3, true))).step())
 				.isEqualTo(Step.JOIN);
--- a/daemon/src/test/java/org/acaciacourse/daemon/control/ReplicaHandlerTests.java
+++ b/daemon/src/test/java/org/acaciacourse/daemon/control/ReplicaHandlerTests.java
@@ -62,9 +62,9 @@
 
 		@Test
 		void ignoresMessagesForAnotherReplica() {
-			// The VM lost its disk and runs as another replica at the same address.
-			// What is sent to the old one arrives here; taken in, it would be answered
-			// by a replica that knows nothing of what the old one promised.
+			// The VM lost its disk and runs as a new replica at the same address, where
+			// messages to the old replica still arrive. The new one must not respond to
+			// them, as it does not know the old one's votes and log.
 			startHandler();
 			assertThat(deliver(KEY, 50, new ReplicaId(5))).isTrue();
 			assertThat(deliver(KEY, 3, ReplicaHandlerTests.this.self.id())).isTrue();
--- a/daemon/src/test/java/org/acaciacourse/daemon/control/ReplicaLoopTests.java
+++ b/daemon/src/test/java/org/acaciacourse/daemon/control/ReplicaLoopTests.java
@@ -57,8 +57,8 @@
 
 		@Test
 		void endsTheLoopAndReportsNoSuccess() throws Exception {
-			// The disk is full while a command is written. Its caller must not be told
-			// that it is done, and the replica stops instead of going on with a log in
+			// The disk is full when a command is written. The command must not be
+			// acknowledged, and the replica must stop rather than continue with a log in
 			// memory that is not on the disk.
 			ReplicaLoop loop = start();
 			assertThat(reportCrash(loop, 1).get().code()).isEqualTo(ResultCode.OK);
@@ -92,7 +92,7 @@
 
 	}
 
-	/** A replica without peers sends nothing. */
+	/** Fails on any message, as a replica without peers sends none. */
 	private static final class NoPeers implements ReplicaDriver.Outbox {
 
 		@Override
