--- a/daemon/src/main/java/org/acaciacourse/daemon/order/EngineOrderClient.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/order/EngineOrderClient.java
@@ -17,7 +17,7 @@
 import org.asynchttpclient.Response;
 
 /**
- * Speaks the orders' part of the engines' protocol.
+ * Client of the part of the engines' HTTP protocol that concerns orders.
  * <p>
  * Thread safe.
  */
@@ -36,7 +36,7 @@
 	/**
 	 * Read an engine's state.
 	 * @param base the base address
-	 * @return the state; fails if it can't be read
+	 * @return the state; fails if it cannot be read
 	 */
 	CompletionStage<EngineState> read(String base) {
 		return this.client.ask("GET", base + PATH).thenApply(EngineOrderClient::parseState);
@@ -61,11 +61,11 @@
 	 * Send an order.
 	 * @param base the base address
 	 * @param order the order
-	 * @param timeout after which the connection is closed, so that the engine can't get
-	 * the rest of it any more
-	 * @param maySend is asked right before the first byte is sent
-	 * @return whether it was carried out, as opposed to refused for its number; fails if
-	 * that is not known
+	 * @param timeout after which the connection is closed, so that the engine cannot
+	 * receive the rest of the order any more
+	 * @param maySend checked right before the first byte is sent
+	 * @return whether the order was carried out, as opposed to refused because of its
+	 * fencing number; fails if the outcome is unknown
 	 */
 	CompletionStage<Boolean> send(String base, EngineOrder order, Duration timeout, BooleanSupplier maySend) {
 		ObjectNode body = JSON.createObjectNode();
--- a/daemon/src/main/java/org/acaciacourse/daemon/order/LeaseCalls.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/order/LeaseCalls.java
@@ -5,32 +5,33 @@
 import org.acaciacourse.core.state.CommandResult.LeaseResult;
 
 /**
- * Asks the replicated state for the lease of the writer of orders.
+ * Acquires and releases the lease for writing engine orders in the replicated state.
  * <p>
  * Thread safe.
  */
 public interface LeaseCalls {
 
 	/**
-	 * Return whether this VM should ask: only the leader does, so that a lease moves with
-	 * the leadership and the others do not fill the log with refusals.
-	 * @return whether to ask for the lease
+	 * Return whether this VM should request the lease. Only the leader does, so that the
+	 * lease moves with the leadership and the other VMs do not fill the log with refused
+	 * requests.
+	 * @return whether to request the lease
 	 */
 	boolean isCandidate();
 
 	/**
 	 * Acquire or renew the lease.
-	 * @param holder who wants it
-	 * @param durationMillis how long it is to hold
-	 * @return what became of it; fails if that is not known
+	 * @param holder the holder to be
+	 * @param durationMillis the duration of the lease in milliseconds
+	 * @return the result; fails if the outcome is unknown
 	 */
 	CompletionStage<LeaseResult> acquire(String holder, long durationMillis);
 
 	/**
-	 * Give the lease back.
-	 * @param holder who holds it
-	 * @param fencingNumber its number
-	 * @return ends once it is given back
+	 * Release the lease.
+	 * @param holder the current holder
+	 * @param fencingNumber the fencing number of the lease
+	 * @return completes once the lease is released
 	 */
 	CompletionStage<?> release(String holder, long fencingNumber);
 
--- a/daemon/src/main/java/org/acaciacourse/daemon/order/LeaseGate.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/order/LeaseGate.java
@@ -7,9 +7,9 @@
 import org.acaciacourse.core.lease.LeaseTiming;
 
 /**
- * The holder's side of a lease on this VM's monotonic clock. The event loop that is about
- * to send an order asks it too: a connection may take a second to open, longer than the
- * margin of the lease.
+ * The holder's side of a lease, on this VM's monotonic clock. It is checked again by the
+ * event loop that is about to send an order, since opening a connection may take a
+ * second, longer than the safety margin of the lease.
  * <p>
  * Thread safe.
  */
--- a/daemon/src/main/java/org/acaciacourse/daemon/order/OrderWriterLoop.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/order/OrderWriterLoop.java
@@ -27,9 +27,10 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * The duty of a control VM to bring the engines to what the manifest wants, while it
- * holds the lease of the writer. A loop round {@link OrderWriter}: its thread owns the
- * writer, and answers of engines and of the replicated state come back on it.
+ * Brings the engines to the state that the manifest describes, while this control VM
+ * holds the lease for writing orders. It runs an {@link OrderWriter}, which only its
+ * thread accesses; responses of engines and of the replicated state are handled on that
+ * thread.
  * <p>
  * Thread safe: start and close are called once each, by any thread.
  */
@@ -75,11 +76,11 @@
 	private long heldFencingNumber;
 
 	/**
-	 * Make the duty.
+	 * Create a loop.
 	 * @param vm the name of the VM
-	 * @param calls asks for the lease
-	 * @param manifests yields the manifest in force
-	 * @param timing times of the writer
+	 * @param calls acquires and releases the lease
+	 * @param manifests supplies the current manifest
+	 * @param timing the intervals and time-outs of the writer
 	 */
 	public OrderWriterLoop(String vm, LeaseCalls calls, Supplier<Optional<Manifest>> manifests, OrderTiming timing) {
 		this.holder = vm + "/" + UUID.randomUUID();
@@ -90,12 +91,12 @@
 				new WeightBudget(MAX_CONCURRENT_LOADS, LOADS_PER_SECOND, System.nanoTime()), new Sender());
 	}
 
-	/** Begin. */
+	/** Start the loop. */
 	public void start() {
 		this.executor.scheduleWithFixedDelay(this::tickSafely, TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
 	}
 
-	// A failure that left the method would end the duty without a sign.
+	// An exception that left this method would silently cancel the scheduled task.
 	private void tickSafely() {
 		try {
 			tick();
@@ -156,7 +157,9 @@
 			.map((address) -> "http://" + address.getAuthority());
 	}
 
-	/** Stop, and give the lease back, so that a successor need not wait for its end. */
+	/**
+	 * Stop and release the lease, so that the next holder need not wait until it expires.
+	 */
 	@Override
 	public void close() {
 		this.executor.shutdownNow();
@@ -174,7 +177,7 @@
 		this.client.close();
 	}
 
-	/** Sends what the writer wants sent; its answers are handed back on the thread. */
+	/** Sends the writer's requests; the responses are handled on the loop's thread. */
 	private final class Sender implements OrderActions {
 
 		@Override
--- a/daemon/src/main/java/org/acaciacourse/daemon/order/package-info.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/order/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Carries out the orders to engines under the lease of the writer.
+ * Sends orders to engines while this control VM holds the lease for writing them.
  */
 package org.acaciacourse.daemon.order;
--- a/daemon/src/test/java/org/acaciacourse/daemon/order/OrderDutyTests.java
+++ b/daemon/src/test/java/org/acaciacourse/daemon/order/OrderDutyTests.java
@@ -113,10 +113,10 @@
 	@Nested
 	class NotHeld {
 
-		// The writer was frozen, or its connection took long to open, and the lease has
-		// passed to another. Its order would undo the other's work on an engine that
-		// ignores numbers. The gate is asked when the connection is open, so that no
-		// byte leaves.
+		// The writer was paused, or its connection took long to open, and another holder
+		// has the lease by then. On an engine that ignores fencing numbers, the order
+		// would undo the other holder's work. The lease is checked once the connection is
+		// open, so that no byte is sent.
 		@Test
 		void orderIsNotSentAfterTheLeaseIsLost() {
 			try (EngineOrderClient client = new EngineOrderClient()) {
@@ -131,7 +131,7 @@
 
 	}
 
-	/** Grants the lease to whoever asks, with number 7. */
+	/** Grants the lease on every request, with fencing number 7. */
 	private static final class FakeLease implements LeaseCalls {
 
 		private volatile long released;
