--- a/daemon/src/main/java/org/acaciacourse/daemon/order/EngineOrderClient.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/order/EngineOrderClient.java
@@ -53,7 +53,7 @@
 			return new EngineState(json.path("fencing").asLong(), loaded, json.path("role").asText());
 		}
 		catch (IOException ex) {
-			throw new IllegalStateException("the state is no JSON", ex);
+			throw new IllegalStateException("engine state is not valid JSON", ex);
 		}
 	}
 
--- a/daemon/src/main/java/org/acaciacourse/daemon/order/OrderWriterLoop.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/order/OrderWriterLoop.java
@@ -102,7 +102,7 @@
 			tick();
 		}
 		catch (RuntimeException ex) {
-			logger.error("the writer of orders failed", ex);
+			logger.error("order writer failed; continuing with the next tick", ex);
 		}
 	}
 
@@ -120,7 +120,7 @@
 
 	private void recordFencingNumber(long number) {
 		if (number != this.heldFencingNumber) {
-			logger.info("holds the lease for orders with fencing number {}", number);
+			logger.info("acquired the lease for engine orders with fencing number {}", number);
 			this.heldFencingNumber = number;
 		}
 	}
@@ -171,7 +171,7 @@
 				Thread.currentThread().interrupt();
 			}
 			catch (ExecutionException | TimeoutException ex) {
-				logger.info("the lease for orders was not given back: {}", ex.toString());
+				logger.info("cannot release the lease for engine orders: {}", ex.toString());
 			}
 		});
 		this.client.close();
@@ -217,8 +217,9 @@
 		}
 
 		private void handleOrderResult(EngineOrder order, Boolean done, Throwable failure) {
-			logger.info("order {} {} to {} with {}: {}", order.kind().label(), order.subject(), order.endpoint(),
-					order.fencingNumber(), (failure != null) ? failure.toString() : (done) ? "done" : "refused");
+			logger.info("order {} {} to endpoint {} with fencing number {}: {}", order.kind().label(), order.subject(),
+					order.endpoint(), order.fencingNumber(),
+					(failure != null) ? failure.toString() : (done) ? "done" : "refused");
 			if (failure != null) {
 				OrderWriterLoop.this.writer.failed(order.endpoint(), order.fencingNumber(), System.nanoTime());
 			}
@@ -237,8 +238,8 @@
 
 		@Override
 		public void outdated(String endpoint, long fencingNumber) {
-			logger.warn("{} {} has seen a newer writer of orders, number {}", ResultCode.FENCED.number(), endpoint,
-					fencingNumber);
+			logger.warn("{} endpoint {} has seen orders with a higher fencing number, {}", ResultCode.FENCED.number(),
+					endpoint, fencingNumber);
 		}
 
 	}
