--- a/daemon/src/main/java/org/acaciacourse/daemon/control/RegistryExchange.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/control/RegistryExchange.java
@@ -111,10 +111,10 @@
 	}
 
 	private Optional<Result> join(String address) {
-		Optional<Result> answer = askToJoin(address);
-		return answer.filter((result) -> result.isSetLeaderAddress() && !result.getLeaderAddress().equals(address))
+		Optional<Result> response = askToJoin(address);
+		return response.filter((result) -> result.isSetLeaderAddress() && !result.getLeaderAddress().equals(address))
 			.flatMap((result) -> askToJoin(result.getLeaderAddress()))
-			.or(() -> answer);
+			.or(() -> response);
 	}
 
 	private Optional<Result> askToJoin(String address) {
--- a/daemon/src/test/java/org/acaciacourse/daemon/control/FoundingTests.java
+++ b/daemon/src/test/java/org/acaciacourse/daemon/control/FoundingTests.java
@@ -22,12 +22,13 @@
 		return new Member(new ReplicaId(i), "control-" + i, "127.0.0.1:" + i, false);
 	}
 
-	private static PeerDescription description(int i, boolean founded) {
-		return new PeerDescription(ReplicaCodec.encode(member(i)), founded);
+	private static PeerDescription description(int i, boolean hasLog) {
+		return new PeerDescription(ReplicaCodec.encode(member(i)), hasLog);
 	}
 
-	private static Bootstrap.Decision decide(Member self, List<String> founders, List<PeerDescription> answers) {
-		return Bootstrap.decide(self, founders, answers, true);
+	private static Bootstrap.Decision decide(Member self, List<String> initialMembers,
+			List<PeerDescription> descriptions) {
+		return Bootstrap.decide(self, initialMembers, descriptions, true);
 	}
 
 	@Nested
--- a/daemon/src/test/java/org/acaciacourse/daemon/order/OrderDutyTests.java
+++ b/daemon/src/test/java/org/acaciacourse/daemon/order/OrderDutyTests.java
@@ -60,7 +60,7 @@
 
 	private void respond(HttpExchange exchange) throws IOException {
 		byte[] body = exchange.getRequestBody().readAllBytes();
-		String answer = "{}";
+		String response = "{}";
 		if (exchange.getRequestMethod().equals("POST")) {
 			String order = new String(body, StandardCharsets.UTF_8);
 			if (order.contains("\"load\"")) {
@@ -72,9 +72,9 @@
 			this.orders.add(order);
 		}
 		else {
-			answer = "{\"fencing\":0,\"loaded\":[" + this.loaded + "],\"role\":\"serve\"}";
+			response = "{\"fencing\":0,\"loaded\":[" + this.loaded + "],\"role\":\"serve\"}";
 		}
-		byte[] bytes = answer.getBytes(StandardCharsets.UTF_8);
+		byte[] bytes = response.getBytes(StandardCharsets.UTF_8);
 		exchange.sendResponseHeaders(200, bytes.length);
 		exchange.getResponseBody().write(bytes);
 		exchange.close();
@@ -89,9 +89,9 @@
 	}
 
 	private OrderWriterLoop startLoop() {
-		OrderWriterLoop duty = new OrderWriterLoop("control-1", this.lease, () -> Optional.of(manifest()), TIMING);
-		duty.start();
-		return duty;
+		OrderWriterLoop loop = new OrderWriterLoop("control-1", this.lease, () -> Optional.of(manifest()), TIMING);
+		loop.start();
+		return loop;
 	}
 
 	@Nested
@@ -99,7 +99,7 @@
 
 		@Test
 		void engineIsBroughtToTheDesiredState() throws Exception {
-			try (OrderWriterLoop duty = startLoop()) {
+			try (OrderWriterLoop loop = startLoop()) {
 				Set<String> seen = Set.of(OrderDutyTests.this.orders.poll(30, TimeUnit.SECONDS),
 						OrderDutyTests.this.orders.poll(30, TimeUnit.SECONDS));
 				assertThat(seen).containsExactly("{\"fencing\":7,\"order\":\"unload\",\"subject\":\"old\"}",
