--- a/daemon/src/main/java/org/acaciacourse/daemon/http/CallerResponse.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/http/CallerResponse.java
@@ -34,23 +34,23 @@
 
 	private final boolean keepAlive;
 
-	private final Runnable done;
+	private final Runnable completionAction;
 
-	private Runnable gone = () -> {
+	private Runnable disconnectAction = () -> {
 	};
 
-	private Runnable writable = () -> {
+	private Runnable writableAction = () -> {
 	};
 
 	private boolean started;
 
 	private boolean ended;
 
-	CallerResponse(Channel channel, HttpVersion version, boolean keepAlive, Runnable done) {
+	CallerResponse(Channel channel, HttpVersion version, boolean keepAlive, Runnable completionAction) {
 		this.channel = channel;
 		this.version = version;
 		this.keepAlive = keepAlive;
-		this.done = done;
+		this.completionAction = completionAction;
 	}
 
 	/**
@@ -66,7 +66,7 @@
 	 * @param action the action
 	 */
 	public void onGone(Runnable action) {
-		this.gone = action;
+		this.disconnectAction = action;
 	}
 
 	/**
@@ -74,7 +74,7 @@
 	 * @param action the action
 	 */
 	public void onWritable(Runnable action) {
-		this.writable = action;
+		this.writableAction = action;
 	}
 
 	/**
@@ -120,7 +120,7 @@
 				Unpooled.wrappedBuffer(body));
 		response.headers().add(headers);
 		response.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.length);
-		setConnection(response);
+		setConnectionHeader(response);
 		finish(this.channel.writeAndFlush(response));
 	}
 
@@ -164,7 +164,7 @@
 		if (this.version.equals(HttpVersion.HTTP_1_1)) {
 			HttpUtil.setTransferEncodingChunked(response, true);
 		}
-		setConnection(response);
+		setConnectionHeader(response);
 		this.channel.write(response);
 	}
 
@@ -197,31 +197,31 @@
 		this.channel.close();
 	}
 
-	void channelGone() {
+	void channelClosed() {
 		if (!this.ended) {
 			this.ended = true;
-			this.gone.run();
+			this.disconnectAction.run();
 		}
 	}
 
 	void channelWritable() {
 		if (!this.ended) {
-			this.writable.run();
+			this.writableAction.run();
 		}
 	}
 
-	private void setConnection(HttpMessage response) {
+	private void setConnectionHeader(HttpMessage response) {
 		HttpUtil.setKeepAlive(response, isReusable());
 	}
 
 	private boolean isReusable() {
 		boolean delimited = this.version.equals(HttpVersion.HTTP_1_1) || this.ended;
-		return this.keepAlive && delimited && !ConnectionGate.isClosing(this.channel);
+		return this.keepAlive && delimited && !ConnectionLimiter.isClosing(this.channel);
 	}
 
 	private void finish(ChannelFuture last) {
 		this.ended = true;
-		last.addListener((future) -> this.done.run());
+		last.addListener((future) -> this.completionAction.run());
 	}
 
 }
--- a/daemon/src/main/java/org/acaciacourse/daemon/http/ConnectionInitializer.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/http/ConnectionInitializer.java
@@ -34,50 +34,51 @@
 
 	private final RequestHandler handler;
 
-	private final ConnectionGate gate;
+	private final ConnectionLimiter limiter;
 
-	private final Optional<TlsFiles> tls;
+	private final Optional<ReloadableTlsContext> tls;
 
-	ConnectionInitializer(Supplier<HttpLimits> limits, RequestHandler handler, ConnectionGate gate,
-			Optional<TlsFiles> tls) {
+	ConnectionInitializer(Supplier<HttpLimits> limits, RequestHandler handler, ConnectionLimiter limiter,
+			Optional<ReloadableTlsContext> tls) {
 		this.limits = limits;
 		this.handler = handler;
-		this.gate = gate;
+		this.limiter = limiter;
 		this.tls = tls;
 	}
 
 	@Override
 	protected void initChannel(Channel channel) {
 		ChannelPipeline pipeline = channel.pipeline();
-		pipeline.addLast(this.gate);
+		pipeline.addLast(this.limiter);
 		if (this.tls.isPresent()) {
 			pipeline.addLast(this.tls.get().context().newHandler(channel.alloc()));
-			pipeline.addLast(new Negotiation());
+			pipeline.addLast(new AlpnHandler());
 		}
 		else {
-			pipeline.addLast(new ProtocolDetector(this.limits.get().readTimeout(), this::http1, this::http2));
+			pipeline.addLast(
+					new ProtocolDetector(this.limits.get().readTimeout(), this::configureHttp1, this::configureHttp2));
 		}
 	}
 
-	private void http1(ChannelPipeline pipeline) {
-		HttpLimits bounds = this.limits.get();
+	private void configureHttp1(ChannelPipeline pipeline) {
+		HttpLimits currentLimits = this.limits.get();
 		pipeline.addLast(new HttpServerCodec(new HttpDecoderConfig().setMaxInitialLineLength(HttpLimits.MAX_LINE)
-			.setMaxHeaderSize(bounds.maxHeader())));
-		pipeline.addLast(READER, new RequestReader(bounds, this.handler, false));
+			.setMaxHeaderSize(currentLimits.maxHeader())));
+		pipeline.addLast(READER, new RequestReader(currentLimits, this.handler, false));
 	}
 
-	private void http2(ChannelPipeline pipeline) {
-		HttpLimits bounds = this.limits.get();
+	private void configureHttp2(ChannelPipeline pipeline) {
+		HttpLimits currentLimits = this.limits.get();
 		Http2Settings settings = Http2Settings.defaultSettings()
 			.maxConcurrentStreams(HttpLimits.MAX_STREAMS)
-			.maxHeaderListSize(bounds.maxHeader());
+			.maxHeaderListSize(currentLimits.maxHeader());
 		pipeline.addLast(HTTP2, Http2FrameCodecBuilder.forServer().initialSettings(settings).build());
 		pipeline.addLast(new Http2MultiplexHandler(new ChannelInitializer<Channel>() {
 
 			@Override
 			protected void initChannel(Channel stream) {
 				stream.pipeline().addLast(new Http2StreamFrameToHttpObjectCodec(true));
-				stream.pipeline().addLast(new RequestReader(bounds, ConnectionInitializer.this.handler, true));
+				stream.pipeline().addLast(new RequestReader(currentLimits, ConnectionInitializer.this.handler, true));
 			}
 
 		}));
@@ -85,19 +86,19 @@
 	}
 
 	/** Sets up what ALPN chose. */
-	private final class Negotiation extends ApplicationProtocolNegotiationHandler {
+	private final class AlpnHandler extends ApplicationProtocolNegotiationHandler {
 
-		private Negotiation() {
+		private AlpnHandler() {
 			super(ApplicationProtocolNames.HTTP_1_1);
 		}
 
 		@Override
 		protected void configurePipeline(ChannelHandlerContext ctx, String protocol) {
 			if (ApplicationProtocolNames.HTTP_2.equals(protocol)) {
-				http2(ctx.pipeline());
+				configureHttp2(ctx.pipeline());
 			}
 			else {
-				http1(ctx.pipeline());
+				configureHttp1(ctx.pipeline());
 			}
 		}
 
--- a/daemon/src/main/java/org/acaciacourse/daemon/http/ConnectionGate.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/http/ConnectionLimiter.java
@@ -20,9 +20,9 @@
  * Thread safe.
  */
 @ChannelHandler.Sharable
-final class ConnectionGate extends ChannelInboundHandlerAdapter {
+final class ConnectionLimiter extends ChannelInboundHandlerAdapter {
 
-	private static final AttributeKey<Boolean> CLOSING = AttributeKey.valueOf(ConnectionGate.class, "closing");
+	private static final AttributeKey<Boolean> CLOSING = AttributeKey.valueOf(ConnectionLimiter.class, "closing");
 
 	private final int maxConnections;
 
@@ -32,7 +32,7 @@
 
 	private final Set<Channel> channels = ConcurrentHashMap.newKeySet();
 
-	ConnectionGate(int maxConnections, RequestHandler handler) {
+	ConnectionLimiter(int maxConnections, RequestHandler handler) {
 		this.maxConnections = maxConnections;
 		this.handler = handler;
 	}
--- a/daemon/src/main/java/org/acaciacourse/daemon/http/Http2Keepalive.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/http/Http2Keepalive.java
@@ -22,7 +22,7 @@
 
 	private ScheduledFuture<?> timer;
 
-	private boolean waiting;
+	private boolean awaitingAck;
 
 	@Override
 	public void handlerAdded(ChannelHandlerContext ctx) {
@@ -31,18 +31,18 @@
 	}
 
 	private void ping(ChannelHandlerContext ctx) {
-		if (this.waiting) {
+		if (this.awaitingAck) {
 			ctx.close();
 			return;
 		}
-		this.waiting = true;
+		this.awaitingAck = true;
 		ctx.writeAndFlush(new DefaultHttp2PingFrame(0));
 	}
 
 	@Override
 	public void channelRead(ChannelHandlerContext ctx, Object message) {
 		if (message instanceof Http2PingFrame ping && ping.ack()) {
-			this.waiting = false;
+			this.awaitingAck = false;
 		}
 		ReferenceCountUtil.release(message);
 	}
--- a/daemon/src/main/java/org/acaciacourse/daemon/http/HttpFront.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/http/HttpFront.java
@@ -42,7 +42,7 @@
 
 	private final Supplier<HttpLimits> limits;
 
-	private final ConnectionGate gate;
+	private final ConnectionLimiter limiter;
 
 	private final RequestHandler handler;
 
@@ -84,10 +84,10 @@
 	 * @throws IOException if the address can't be used
 	 */
 	public static ServerSocketChannel open(InetSocketAddress address) throws IOException {
-		ServerSocketChannel opened = ServerSocketChannel.open();
-		opened.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-		opened.bind(address, BACKLOG);
-		return opened;
+		ServerSocketChannel socket = ServerSocketChannel.open();
+		socket.setOption(StandardSocketOptions.SO_REUSEADDR, true);
+		socket.bind(address, BACKLOG);
+		return socket;
 	}
 
 	private HttpFront(InetSocketAddress address, Supplier<HttpLimits> limits, Optional<Settings> tlsSettings,
@@ -96,7 +96,7 @@
 		this.limits = limits;
 		this.tlsSettings = tlsSettings;
 		this.handler = handler;
-		this.gate = new ConnectionGate(limits.get().maxConnections(), handler);
+		this.limiter = new ConnectionLimiter(limits.get().maxConnections(), handler);
 		this.workers = workers;
 		this.acceptors = acceptors;
 	}
@@ -105,14 +105,14 @@
 		return () -> limits;
 	}
 
-	private Optional<TlsFiles> tls() throws IOException {
+	private Optional<ReloadableTlsContext> tlsContext() throws IOException {
 		Optional<String> certificate = this.tlsSettings
 			.flatMap((settings) -> settings.optionalText(SettingKey.ENTRY_TLS_CERTIFICATE));
 		if (certificate.isEmpty()) {
 			return Optional.empty();
 		}
 		String key = this.tlsSettings.get().text(SettingKey.ENTRY_TLS_KEY);
-		return Optional.of(new TlsFiles(Path.of(certificate.get()), Path.of(key)));
+		return Optional.of(new ReloadableTlsContext(Path.of(certificate.get()), Path.of(key)));
 	}
 
 	/**
@@ -125,21 +125,21 @@
 
 	/**
 	 * Accept connections.
-	 * @param opened a socket that listens already, else one is bound
+	 * @param socket a socket that listens already, else one is bound
 	 * @throws IOException if the address or the TLS files can't be used
 	 */
-	public void start(Optional<ServerSocketChannel> opened) throws IOException {
-		Optional<TlsFiles> tls = tls();
-		tls.ifPresent((files) -> this.acceptors.scheduleAtFixedRate(files::reload, TLS_CHECK_SECONDS, TLS_CHECK_SECONDS,
-				TimeUnit.SECONDS));
+	public void start(Optional<ServerSocketChannel> socket) throws IOException {
+		Optional<ReloadableTlsContext> tls = tlsContext();
+		tls.ifPresent((files) -> this.acceptors.scheduleAtFixedRate(files::reloadIfChanged, TLS_CHECK_SECONDS,
+				TLS_CHECK_SECONDS, TimeUnit.SECONDS));
 		ServerBootstrap bootstrap = new ServerBootstrap().group(this.acceptors, this.workers)
-			.channelFactory(() -> opened.map(NioServerSocketChannel::new).orElseGet(NioServerSocketChannel::new))
+			.channelFactory(() -> socket.map(NioServerSocketChannel::new).orElseGet(NioServerSocketChannel::new))
 			.option(ChannelOption.SO_BACKLOG, BACKLOG)
 			.option(ChannelOption.SO_REUSEADDR, true)
 			.childOption(ChannelOption.TCP_NODELAY, true)
 			.childOption(ChannelOption.SO_KEEPALIVE, true)
-			.childHandler(new ConnectionInitializer(this.limits, this.handler, this.gate, tls));
-		ChannelFuture bound = (opened.isPresent()) ? bootstrap.register() : bootstrap.bind(this.address);
+			.childHandler(new ConnectionInitializer(this.limits, this.handler, this.limiter, tls));
+		ChannelFuture bound = (socket.isPresent()) ? bootstrap.register() : bootstrap.bind(this.address);
 		bound.awaitUninterruptibly();
 		if (!bound.isSuccess()) {
 			throw new IOException("cannot bind " + this.address, bound.cause());
@@ -157,7 +157,7 @@
 
 	/** From now on each connection is closed after the answer it waits for. */
 	public void closeAfterAnswers() {
-		this.gate.channels().forEach(ConnectionGate::markClosing);
+		this.limiter.channels().forEach(ConnectionLimiter::markClosing);
 	}
 
 	/**
@@ -166,13 +166,13 @@
 	 */
 	public void stopAccepting() {
 		this.listener.close().awaitUninterruptibly();
-		for (Channel connection : this.gate.channels()) {
-			connection.eventLoop().execute(() -> letEnd(connection));
+		for (Channel connection : this.limiter.channels()) {
+			connection.eventLoop().execute(() -> closeWhenIdle(connection));
 		}
 	}
 
-	private static void letEnd(Channel connection) {
-		ConnectionGate.markClosing(connection);
+	private static void closeWhenIdle(Channel connection) {
+		ConnectionLimiter.markClosing(connection);
 		if (connection.pipeline().get(ConnectionInitializer.HTTP2) != null) {
 			connection.writeAndFlush(new DefaultHttp2GoAwayFrame(Http2Error.NO_ERROR));
 		}
@@ -187,7 +187,7 @@
 	 * @return the number
 	 */
 	public int connections() {
-		return this.gate.channels().size();
+		return this.limiter.channels().size();
 	}
 
 	/**
@@ -195,10 +195,10 @@
 	 * @return whether all bytes that were written have left for the callers
 	 */
 	public boolean isIdle() {
-		return this.gate.channels().stream().allMatch(HttpFront::isFlushed);
+		return this.limiter.channels().stream().allMatch(HttpFront::hasNoPendingBytes);
 	}
 
-	private static boolean isFlushed(Channel connection) {
+	private static boolean hasNoPendingBytes(Channel connection) {
 		ChannelOutboundBuffer buffer = connection.unsafe().outboundBuffer();
 		return buffer == null || buffer.totalPendingWriteBytes() == 0;
 	}
@@ -207,7 +207,7 @@
 	 * Close all connections and accept no more; the event loops are left to their owner.
 	 */
 	public void close() {
-		this.gate.channels().forEach(Channel::close);
+		this.limiter.channels().forEach(Channel::close);
 		if (this.acceptors == this.workers) {
 			return;
 		}
--- a/daemon/src/main/java/org/acaciacourse/daemon/http/ProtocolDetector.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/http/ProtocolDetector.java
@@ -52,12 +52,13 @@
 
 	@Override
 	protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) {
-		int known = Math.min(in.readableBytes(), PREFACE.readableBytes());
-		boolean prefix = ByteBufUtil.equals(in, in.readerIndex(), PREFACE, PREFACE.readerIndex(), known);
-		if (prefix && known < PREFACE.readableBytes()) {
+		int comparedBytes = Math.min(in.readableBytes(), PREFACE.readableBytes());
+		boolean matchesPreface = ByteBufUtil.equals(in, in.readerIndex(), PREFACE, PREFACE.readerIndex(),
+				comparedBytes);
+		if (matchesPreface && comparedBytes < PREFACE.readableBytes()) {
 			return;
 		}
-		Consumer<ChannelPipeline> chosen = (prefix) ? this.http2 : this.http1;
+		Consumer<ChannelPipeline> chosen = (matchesPreface) ? this.http2 : this.http1;
 		chosen.accept(ctx.pipeline());
 		ctx.pipeline().remove(this);
 	}
--- a/daemon/src/main/java/org/acaciacourse/daemon/http/TlsFiles.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/http/ReloadableTlsContext.java
@@ -23,11 +23,11 @@
  * writes of the two files a new key stands beside an old certificate, and every handshake
  * would fail.
  * <p>
- * Thread safe: {@link #reload} is called by one thread, {@link #context} by any.
+ * Thread safe: {@link #reloadIfChanged} is called by one thread, {@link #context} by any.
  */
-final class TlsFiles {
+final class ReloadableTlsContext {
 
-	private static final Logger logger = LogManager.getLogger(TlsFiles.class);
+	private static final Logger logger = LogManager.getLogger(ReloadableTlsContext.class);
 
 	private final Path certificate;
 
@@ -35,15 +35,15 @@
 
 	private volatile SslContext context;
 
-	private List<FileTime> times;
+	private List<FileTime> loadedTimes;
 
-	private List<FileTime> seen;
+	private List<FileTime> lastSeenTimes;
 
-	TlsFiles(Path certificate, Path key) throws IOException {
+	ReloadableTlsContext(Path certificate, Path key) throws IOException {
 		this.certificate = certificate;
 		this.key = key;
-		this.times = times();
-		this.seen = this.times;
+		this.loadedTimes = modificationTimes();
+		this.lastSeenTimes = this.loadedTimes;
 		this.context = load();
 	}
 
@@ -51,22 +51,22 @@
 		return this.context;
 	}
 
-	void reload() {
+	void reloadIfChanged() {
 		try {
-			List<FileTime> now = times();
-			if (!now.equals(this.times) && now.equals(this.seen)) {
+			List<FileTime> currentTimes = modificationTimes();
+			if (!currentTimes.equals(this.loadedTimes) && currentTimes.equals(this.lastSeenTimes)) {
 				this.context = load();
-				this.times = now;
+				this.loadedTimes = currentTimes;
 				logger.info("certificate reloaded");
 			}
-			this.seen = now;
+			this.lastSeenTimes = currentTimes;
 		}
 		catch (IOException | RuntimeException ex) {
 			logger.warn("certificate cannot be reloaded: {}", ex.toString());
 		}
 	}
 
-	private List<FileTime> times() throws IOException {
+	private List<FileTime> modificationTimes() throws IOException {
 		return List.of(Files.getLastModifiedTime(this.certificate), Files.getLastModifiedTime(this.key));
 	}
 
--- a/daemon/src/main/java/org/acaciacourse/daemon/http/RequestReader.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/http/RequestReader.java
@@ -39,7 +39,7 @@
 
 	private final RequestHandler handler;
 
-	private final boolean stream;
+	private final boolean http2Stream;
 
 	private final Deque<HttpObject> pipelined = new ArrayDeque<>();
 
@@ -53,10 +53,10 @@
 
 	private boolean discarding;
 
-	RequestReader(HttpLimits limits, RequestHandler handler, boolean stream) {
+	RequestReader(HttpLimits limits, RequestHandler handler, boolean http2Stream) {
 		this.limits = limits;
 		this.handler = handler;
-		this.stream = stream;
+		this.http2Stream = http2Stream;
 	}
 
 	@Override
@@ -137,11 +137,11 @@
 		byte[] bytes = bytes(this.body);
 		clear();
 		this.response = new CallerResponse(ctx.channel(), request.protocolVersion(), HttpUtil.isKeepAlive(request),
-				() -> answered(ctx, HttpUtil.isKeepAlive(request)));
+				() -> responseWritten(ctx, HttpUtil.isKeepAlive(request)));
 		String uri = request.uri();
-		int mark = uri.indexOf('?');
-		String path = (mark < 0) ? uri : uri.substring(0, mark);
-		String query = (mark < 0) ? "" : uri.substring(mark + 1);
+		int queryMark = uri.indexOf('?');
+		String path = (queryMark < 0) ? uri : uri.substring(0, queryMark);
+		String query = (queryMark < 0) ? "" : uri.substring(queryMark + 1);
 		this.handler.handle(new CallerRequest(request.method().name(), uri, path, query, request.headers(), bytes),
 				this.response);
 	}
@@ -150,16 +150,16 @@
 		return ByteBufUtil.getBytes(body);
 	}
 
-	private void answered(ChannelHandlerContext ctx, boolean keepAlive) {
+	private void responseWritten(ChannelHandlerContext ctx, boolean keepAlive) {
 		this.response = null;
-		boolean http10 = !this.stream && !keepAlive;
+		boolean closeRequested = !this.http2Stream && !keepAlive;
 		if (this.discarding) {
-			linger(ctx);
+			closeAfterLinger(ctx);
 		}
-		else if (this.stream) {
+		else if (this.http2Stream) {
 			return;
 		}
-		else if (http10 || ConnectionGate.isClosing(ctx.channel())) {
+		else if (closeRequested || ConnectionLimiter.isClosing(ctx.channel())) {
 			ctx.close();
 		}
 		else {
@@ -190,14 +190,15 @@
 			return;
 		}
 		this.handler.refused(code);
-		this.response = new CallerResponse(ctx.channel(), version, this.stream, () -> answered(ctx, this.stream));
+		this.response = new CallerResponse(ctx.channel(), version, this.http2Stream,
+				() -> responseWritten(ctx, this.http2Stream));
 		this.response.refuse(Refusal.notRun(code), "");
 	}
 
 	// The rest of a refused request is read and thrown away for a moment: closing with
 	// unread bytes would reset the connection, and the caller would never see the
 	// refusal.
-	private void linger(ChannelHandlerContext ctx) {
+	private void closeAfterLinger(ChannelHandlerContext ctx) {
 		if (ctx.channel() instanceof SocketChannel socket) {
 			socket.shutdownOutput();
 		}
@@ -218,7 +219,7 @@
 		this.pipelined.forEach(ReferenceCountUtil::release);
 		this.pipelined.clear();
 		if (this.response != null) {
-			this.response.channelGone();
+			this.response.channelClosed();
 		}
 		ctx.fireChannelInactive();
 	}
--- a/daemon/src/test/java/org/acaciacourse/daemon/http/HttpFrontTests.java
+++ b/daemon/src/test/java/org/acaciacourse/daemon/http/HttpFrontTests.java
@@ -31,27 +31,27 @@
 	void requestSentBeforeTheServerStartsIsServed() throws Exception {
 		EventLoopGroup loops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
 		InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-		ServerSocketChannel opened = HttpFront.open(any);
-		HttpFront front = new HttpFront(any, () -> LIMITS, loops, new Answering());
+		ServerSocketChannel listening = HttpFront.open(any);
+		HttpFront server = new HttpFront(any, () -> LIMITS, loops, new OkHandler());
 		try (Socket caller = new Socket()) {
-			caller.connect(opened.getLocalAddress());
+			caller.connect(listening.getLocalAddress());
 			caller.getOutputStream()
 				.write("GET /early HTTP/1.1\r\nHost: h\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-			front.start(Optional.of(opened));
-			assertThat(front.port()).isEqualTo(caller.getPort());
+			server.start(Optional.of(listening));
+			assertThat(server.port()).isEqualTo(caller.getPort());
 			String status = new BufferedReader(
 					new InputStreamReader(caller.getInputStream(), StandardCharsets.US_ASCII))
 				.readLine();
 			assertThat(status).contains("200");
 		}
 		finally {
-			front.close();
+			server.close();
 			loops.shutdownGracefully();
 		}
 	}
 
 	/** Answers every request. */
-	private static final class Answering implements RequestHandler {
+	private static final class OkHandler implements RequestHandler {
 
 		@Override
 		public void handle(CallerRequest request, CallerResponse response) {
