--- a/daemon/src/main/java/org/acaciacourse/daemon/endpoint/EndpointCall.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/endpoint/EndpointCall.java
@@ -22,14 +22,15 @@
  * <p>
  * A call that was closed before its first byte was handed to the connection is never
  * sent: the two race for one state, so that "not sent" is certain. Chunks that wait for
- * the listener are bounded: over {@link #MAX_PENDING} bytes the connection is not read.
+ * the listener are bounded: over {@link #MAX_PENDING_BYTES} bytes the connection is not
+ * read.
  * <p>
  * Thread safe: the HTTP client calls it on its event loops, the listener's side calls
  * {@link #close}.
  */
 public final class EndpointCall implements AsyncHandler<Void> {
 
-	static final int MAX_PENDING = 256 * 1024;
+	static final int MAX_PENDING_BYTES = 256 * 1024;
 
 	private static final int CHUNK_OVERHEAD = 64;
 
@@ -41,14 +42,14 @@
 
 	private final SpscUnboundedArrayQueue<byte[]> chunks = new SpscUnboundedArrayQueue<>(32);
 
-	private final AtomicInteger pending = new AtomicInteger();
+	private final AtomicInteger pendingBytes = new AtomicInteger();
 
 	private final AtomicBoolean scheduled = new AtomicBoolean();
 
 	private volatile Channel channel;
 
 	// Set on the event loop of the connection, and read there.
-	private volatile boolean offered;
+	private volatile boolean returnedToPool;
 
 	private int status;
 
@@ -73,7 +74,7 @@
 	 * @return whether a byte of the request may have been sent
 	 */
 	public boolean close() {
-		boolean sent = giveUp();
+		boolean sent = markClosed();
 		Channel open = this.channel;
 		if (open != null) {
 			open.close();
@@ -88,29 +89,29 @@
 	 * @return whether a byte of the request may have been sent
 	 */
 	public boolean release() {
-		boolean sent = giveUp();
+		boolean sent = markClosed();
 		Channel open = this.channel;
 		if (open != null && open.isOpen()) {
-			open.eventLoop().execute(() -> closeUnlessOffered(open));
+			open.eventLoop().execute(() -> closeUnlessPooled(open));
 		}
 		return sent;
 	}
 
-	private boolean giveUp() {
+	private boolean markClosed() {
 		return !this.stage.compareAndSet(Stage.PREPARED, Stage.CLOSED) && this.stage.get() == Stage.SENT;
 	}
 
 	// On the connection's thread, which also offers it: checked elsewhere, another call
 	// could begin on the connection between the check and the closing.
-	private void closeUnlessOffered(Channel open) {
-		if (!this.offered) {
+	private void closeUnlessPooled(Channel open) {
+		if (!this.returnedToPool) {
 			open.close();
 		}
 	}
 
 	@Override
 	public void onConnectionOffer(Channel connection) {
-		this.offered = true;
+		this.returnedToPool = true;
 	}
 
 	@Override
@@ -151,16 +152,16 @@
 		if (bytes.length == 0) {
 			return State.CONTINUE;
 		}
-		int waiting = this.pending.addAndGet(bytes.length + CHUNK_OVERHEAD);
+		int waiting = this.pendingBytes.addAndGet(bytes.length + CHUNK_OVERHEAD);
 		this.chunks.offer(bytes);
-		if (waiting > MAX_PENDING && ReadGate.pause(this.channel)) {
+		if (waiting > MAX_PENDING_BYTES && ReadGate.pause(this.channel)) {
 			this.listener.paused();
 		}
-		wake();
+		scheduleDelivery();
 		return State.CONTINUE;
 	}
 
-	private void wake() {
+	private void scheduleDelivery() {
 		if (this.scheduled.compareAndSet(false, true)) {
 			this.executor.execute(() -> {
 				this.scheduled.set(false);
@@ -179,13 +180,13 @@
 			return Optional.empty();
 		}
 		int size = bytes.length + CHUNK_OVERHEAD;
-		int waiting = this.pending.addAndGet(-size);
+		int waiting = this.pendingBytes.addAndGet(-size);
 		// The gate is closed and opened on the event loop of the connection only. It was
 		// closed over the bound, so that this crossing always comes after, and can't be
 		// missed: with a flag shared by both sides, a closing that overtook its opening
 		// left the connection unread for good.
-		if (waiting < MAX_PENDING / 2 && waiting + size >= MAX_PENDING / 2) {
-			ReadGate.goOn(this.channel, () -> this.pending.get() <= MAX_PENDING);
+		if (waiting < MAX_PENDING_BYTES / 2 && waiting + size >= MAX_PENDING_BYTES / 2) {
+			ReadGate.resume(this.channel, () -> this.pendingBytes.get() <= MAX_PENDING_BYTES);
 		}
 		return Optional.of(bytes);
 	}
@@ -197,8 +198,8 @@
 
 	@Override
 	public Void onCompleted() {
-		boolean whole = this.delimited;
-		this.executor.execute(() -> this.listener.ended(this, whole));
+		boolean complete = this.delimited;
+		this.executor.execute(() -> this.listener.ended(this, complete));
 		return null;
 	}
 
--- a/daemon/src/main/java/org/acaciacourse/daemon/endpoint/EndpointClient.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/endpoint/EndpointClient.java
@@ -41,17 +41,17 @@
 
 	private static final Duration CONNECTION_TTL = Duration.ofMinutes(5);
 
-	private static final Duration ASK_TIMEOUT = Duration.ofSeconds(2);
+	private static final Duration SHORT_REQUEST_TIMEOUT = Duration.ofSeconds(2);
 
-	private static final int MAX_HEADER = 32 * 1024;
+	private static final int MAX_HEADER_BYTES = 32 * 1024;
 
 	private final EventLoopGroup loops;
 
-	private final boolean owner;
+	private final boolean ownsLoops;
 
-	private final AsyncHttpClient kept;
+	private final AsyncHttpClient pooledClient;
 
-	private final AsyncHttpClient fresh;
+	private final AsyncHttpClient unpooledClient;
 
 	/**
 	 * Make a client with event loops of its own.
@@ -69,11 +69,11 @@
 		this(loops, false);
 	}
 
-	private EndpointClient(EventLoopGroup loops, boolean owner) {
+	private EndpointClient(EventLoopGroup loops, boolean ownsLoops) {
 		this.loops = loops;
-		this.owner = owner;
-		this.kept = Dsl.asyncHttpClient(config(true));
-		this.fresh = Dsl.asyncHttpClient(config(false));
+		this.ownsLoops = ownsLoops;
+		this.pooledClient = Dsl.asyncHttpClient(config(true));
+		this.unpooledClient = Dsl.asyncHttpClient(config(false));
 	}
 
 	/**
@@ -100,16 +100,16 @@
 			.setPooledConnectionIdleTimeout(POOLED_IDLE)
 			.setConnectionTtl(CONNECTION_TTL)
 			.setConnectionPoolCleanerPeriod(Duration.ofSeconds(1))
-			.setHttpClientCodecMaxHeaderSize(MAX_HEADER)
+			.setHttpClientCodecMaxHeaderSize(MAX_HEADER_BYTES)
 			.setTcpNoDelay(true)
 			.setUserAgent("acaciacourse")
 			.setSslEngineFactory(new LazySslEngines())
-			.setHttpAdditionalChannelInitializer(EndpointClient::addGate)
+			.setHttpAdditionalChannelInitializer(EndpointClient::addReadGate)
 			.setShutdownQuietPeriod(Duration.ZERO)
 			.build();
 	}
 
-	private static void addGate(Channel channel) {
+	private static void addReadGate(Channel channel) {
 		channel.pipeline().addFirst(ReadGate.NAME, new ReadGate());
 	}
 
@@ -119,7 +119,7 @@
 	 * @param call the call
 	 */
 	public void send(EndpointCall.Request request, EndpointCall call) {
-		AsyncHttpClient client = (request.fresh()) ? this.fresh : this.kept;
+		AsyncHttpClient client = (request.fresh()) ? this.unpooledClient : this.pooledClient;
 		BoundRequestBuilder builder = client.prepare(request.method(), request.url());
 		request.headers().forEach(builder::setHeader);
 		if (request.body().length > 0) {
@@ -135,7 +135,7 @@
 	 * @return the answer; fails if there is none in two seconds
 	 */
 	public CompletionStage<Response> ask(String method, String url) {
-		return ask(this.fresh, method, url);
+		return sendShortRequest(this.unpooledClient, method, url);
 	}
 
 	/**
@@ -144,7 +144,7 @@
 	 * @return the answer; fails if there is none in two seconds
 	 */
 	public CompletionStage<Response> poll(String url) {
-		return ask(this.kept, "GET", url);
+		return sendShortRequest(this.pooledClient, "GET", url);
 	}
 
 	/**
@@ -157,7 +157,7 @@
 	 * @return the answer; fails if there is none in time or nothing was sent
 	 */
 	public CompletionStage<Response> post(String url, byte[] body, Duration timeout, BooleanSupplier maySend) {
-		return this.fresh.preparePost(url)
+		return this.unpooledClient.preparePost(url)
 			.setHeader("content-type", "application/json")
 			.setBody(body)
 			.setRequestTimeout(timeout)
@@ -172,9 +172,9 @@
 			.toCompletableFuture();
 	}
 
-	private static CompletionStage<Response> ask(AsyncHttpClient client, String method, String url) {
+	private static CompletionStage<Response> sendShortRequest(AsyncHttpClient client, String method, String url) {
 		try {
-			return client.prepare(method, url).setRequestTimeout(ASK_TIMEOUT).execute().toCompletableFuture();
+			return client.prepare(method, url).setRequestTimeout(SHORT_REQUEST_TIMEOUT).execute().toCompletableFuture();
 		}
 		catch (RuntimeException ex) {
 			return CompletableFuture.failedFuture(ex);
@@ -184,13 +184,13 @@
 	@Override
 	public void close() {
 		try {
-			this.kept.close();
-			this.fresh.close();
+			this.pooledClient.close();
+			this.unpooledClient.close();
 		}
 		catch (IOException ex) {
 			logger.warn("client not closed: {}", ex.toString());
 		}
-		if (this.owner) {
+		if (this.ownsLoops) {
 			this.loops.shutdownGracefully(0, 2, TimeUnit.SECONDS).awaitUninterruptibly();
 		}
 	}
--- a/daemon/src/main/java/org/acaciacourse/daemon/endpoint/EndpointPoller.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/endpoint/EndpointPoller.java
@@ -32,19 +32,19 @@
 
 	// 60 questions a second at some 400 bytes each stay below the 30 KB/s that a VM may
 	// spend on control; 13 engines are still asked four times a second.
-	private static final int MOST_PER_TICK = 3;
+	private static final int MAX_REQUESTS_PER_TICK = 3;
 
-	private static final long LEAST_INTERVAL = TimeUnit.MILLISECONDS.toNanos(250);
+	private static final long MIN_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
 
-	private static final int EVENTS_EVERY = 4;
+	private static final int CACHE_EVENTS_EVERY = 4;
 
 	private final EndpointClient client;
 
 	private final Listener listener;
 
-	private final EngineStarts starts;
+	private final EngineStarts startTimes;
 
-	private final ScheduledExecutorService thread = Executors.newSingleThreadScheduledExecutor((task) -> {
+	private final ScheduledExecutorService executor = Executors.newSingleThreadScheduledExecutor((task) -> {
 		Thread made = new Thread(task, "poll");
 		made.setDaemon(true);
 		return made;
@@ -52,19 +52,19 @@
 
 	private Map<String, Target> targets = Map.of();
 
-	private List<Target> order = List.of();
+	private List<Target> pollOrder = List.of();
 
 	private int next;
 
-	public EndpointPoller(EndpointClient client, EngineStarts starts, Listener listener) {
+	public EndpointPoller(EndpointClient client, EngineStarts startTimes, Listener listener) {
 		this.client = client;
-		this.starts = starts;
+		this.startTimes = startTimes;
 		this.listener = listener;
 	}
 
 	/** Begin. */
 	public void start() {
-		this.thread.scheduleWithFixedDelay(this::tick, TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
+		this.executor.scheduleWithFixedDelay(this::tick, TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
 	}
 
 	/**
@@ -72,54 +72,54 @@
 	 * @param bases the base address of each engine by name
 	 */
 	public void endpoints(Map<String, String> bases) {
-		this.thread.execute(() -> replace(bases));
+		this.executor.execute(() -> replaceTargets(bases));
 	}
 
-	private void replace(Map<String, String> bases) {
-		Map<String, Target> kept = new HashMap<>();
+	private void replaceTargets(Map<String, String> bases) {
+		Map<String, Target> updated = new HashMap<>();
 		bases.forEach((name, base) -> {
 			Target known = this.targets.get(name);
-			kept.put(name, (known != null && known.base.equals(base)) ? known : new Target(name, base));
+			updated.put(name, (known != null && known.base.equals(base)) ? known : new Target(name, base));
 		});
-		this.targets = kept;
-		this.order = List.copyOf(kept.values());
-		this.starts.retain(bases.values());
+		this.targets = updated;
+		this.pollOrder = List.copyOf(updated.values());
+		this.startTimes.retain(bases.values());
 	}
 
 	private void tick() {
-		int most = Math.min(MOST_PER_TICK, this.order.size());
-		for (int i = 0; i < most; i++) {
-			this.next = (this.next + 1) % this.order.size();
-			ask(this.order.get(this.next));
+		int requests = Math.min(MAX_REQUESTS_PER_TICK, this.pollOrder.size());
+		for (int i = 0; i < requests; i++) {
+			this.next = (this.next + 1) % this.pollOrder.size();
+			pollTarget(this.pollOrder.get(this.next));
 		}
 	}
 
-	private void ask(Target target) {
+	private void pollTarget(Target target) {
 		long now = System.nanoTime();
-		if (target.waiting || now - target.askedAt < LEAST_INTERVAL) {
+		if (target.inFlight || now - target.lastRequestNanos < MIN_INTERVAL_NANOS) {
 			return;
 		}
-		target.waiting = true;
-		target.askedAt = now;
-		boolean events = ++target.asked % EVENTS_EVERY == 0;
-		String path = (events) ? "/cache/events?since=" + target.since : "/load";
+		target.inFlight = true;
+		target.lastRequestNanos = now;
+		boolean cacheEvents = ++target.requestCount % CACHE_EVENTS_EVERY == 0;
+		String path = (cacheEvents) ? "/cache/events?since=" + target.nextCacheEvent : "/load";
 		this.client.poll(target.base + path).whenCompleteAsync((response, failure) -> {
-			target.waiting = false;
+			target.inFlight = false;
 			if (failure == null && response.getStatusCode() == 200) {
-				read(target, events, response);
+				readResponse(target, cacheEvents, response);
 			}
-		}, this.thread);
+		}, this.executor);
 	}
 
-	private void read(Target target, boolean events, Response response) {
+	private void readResponse(Target target, boolean cacheEvents, Response response) {
 		try {
 			JsonNode json = JSON.readTree(response.getResponseBodyAsBytes());
-			if (events) {
-				readEvents(target, json);
+			if (cacheEvents) {
+				readCacheEvents(target, json);
 			}
 			else {
 				if (json.has("started_ms")) {
-					this.starts.note(target.base, json.path("started_ms").asLong());
+					this.startTimes.note(target.base, json.path("started_ms").asLong());
 				}
 				long age = TimeUnit.MILLISECONDS.toNanos(json.path("age_ms").asLong());
 				this.listener.load(target.name, new LoadReport(json.path("sequence").asLong(),
@@ -131,8 +131,8 @@
 		}
 	}
 
-	private void readEvents(Target target, JsonNode json) {
-		target.since = json.path("next").asLong(target.since);
+	private void readCacheEvents(Target target, JsonNode json) {
+		target.nextCacheEvent = json.path("next").asLong(target.nextCacheEvent);
 		for (JsonNode event : json.path("events")) {
 			long prefix = Long.parseUnsignedLong(event.path("prefix").asText(), 16);
 			this.listener.prefix(target.name, prefix, event.path("held").asBoolean());
@@ -141,7 +141,7 @@
 
 	@Override
 	public void close() {
-		this.thread.shutdownNow();
+		this.executor.shutdownNow();
 	}
 
 	/** One engine, as the polling thread knows it. */
@@ -151,13 +151,13 @@
 
 		private final String base;
 
-		private boolean waiting;
+		private boolean inFlight;
 
-		private long askedAt = System.nanoTime() - LEAST_INTERVAL;
+		private long lastRequestNanos = System.nanoTime() - MIN_INTERVAL_NANOS;
 
-		private int asked;
+		private int requestCount;
 
-		private long since;
+		private long nextCacheEvent;
 
 		private Target(String name, String base) {
 			this.name = name;
--- a/daemon/src/main/java/org/acaciacourse/daemon/endpoint/EngineStarts.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/endpoint/EngineStarts.java
@@ -14,7 +14,7 @@
  */
 public final class EngineStarts {
 
-	private final Map<String, Long> starts = new ConcurrentHashMap<>();
+	private final Map<String, Long> startTimes = new ConcurrentHashMap<>();
 
 	/**
 	 * Take note of what an engine said.
@@ -22,7 +22,7 @@
 	 * @param startedMillis the time of its start
 	 */
 	public void note(String base, long startedMillis) {
-		this.starts.put(base, startedMillis);
+		this.startTimes.put(base, startedMillis);
 	}
 
 	/**
@@ -31,7 +31,7 @@
 	 * @return the time of its start, if it said one
 	 */
 	public OptionalLong of(String base) {
-		Long known = this.starts.get(base);
+		Long known = this.startTimes.get(base);
 		return (known != null) ? OptionalLong.of(known) : OptionalLong.empty();
 	}
 
@@ -40,7 +40,7 @@
 	 * @param bases the base addresses that are
 	 */
 	void retain(Collection<String> bases) {
-		this.starts.keySet().retainAll(bases);
+		this.startTimes.keySet().retainAll(bases);
 	}
 
 }
--- a/daemon/src/main/java/org/acaciacourse/daemon/endpoint/EventSplitter.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/endpoint/EventSplitter.java
@@ -7,12 +7,12 @@
  * Splits a stream of server-sent events into events, each of whole lines, and reads the
  * fields {@code id} and {@code data}.
  * <p>
- * Not thread safe: belongs to one answer. An event over {@link #MAX_EVENT} bytes is
+ * Not thread safe: belongs to one answer. An event over {@link #MAX_EVENT_BYTES} bytes is
  * refused, so that an endpoint without line ends can't fill the memory.
  */
 public final class EventSplitter {
 
-	static final int MAX_EVENT = 1024 * 1024;
+	static final int MAX_EVENT_BYTES = 1024 * 1024;
 
 	private static final byte[] DATA = "data:".getBytes(StandardCharsets.US_ASCII);
 
@@ -28,7 +28,7 @@
 
 	private int lineStart;
 
-	private long index = -1;
+	private long eventId = -1;
 
 	private int dataStart = -1;
 
@@ -43,12 +43,12 @@
 	public boolean feed(byte[] chunk, Sink sink) {
 		append(chunk);
 		while (this.scanned < this.length) {
-			if (this.buffer[this.scanned++] == '\n' && !line(sink)) {
+			if (this.buffer[this.scanned++] == '\n' && !handleLine(sink)) {
 				return false;
 			}
 		}
 		compact();
-		return this.length <= MAX_EVENT;
+		return this.length <= MAX_EVENT_BYTES;
 	}
 
 	private void append(byte[] chunk) {
@@ -59,7 +59,7 @@
 		this.length += chunk.length;
 	}
 
-	private boolean line(Sink sink) {
+	private boolean handleLine(Sink sink) {
 		int start = this.lineStart;
 		int end = this.scanned - 1;
 		if (end > start && this.buffer[end - 1] == '\r') {
@@ -67,19 +67,19 @@
 		}
 		this.lineStart = this.scanned;
 		if (end == start) {
-			return event(sink);
+			return emitEvent(sink);
 		}
 		if (startsWith(start, end, DATA)) {
 			this.dataStart = skipSpace(start + DATA.length, end);
 			this.dataEnd = end;
 		}
 		else if (startsWith(start, end, ID)) {
-			return number(skipSpace(start + ID.length, end), end);
+			return parseId(skipSpace(start + ID.length, end), end);
 		}
 		return true;
 	}
 
-	private boolean number(int start, int end) {
+	private boolean parseId(int start, int end) {
 		long value = 0;
 		for (int i = start; i < end; i++) {
 			int digit = this.buffer[i] - '0';
@@ -88,16 +88,16 @@
 			}
 			value = value * 10 + digit;
 		}
-		this.index = value;
+		this.eventId = value;
 		return end > start;
 	}
 
-	private boolean event(Sink sink) {
+	private boolean emitEvent(Sink sink) {
 		boolean accepted = true;
 		if (this.dataStart >= 0) {
-			accepted = sink.event(this.index, this.buffer, this.dataStart, this.dataEnd);
+			accepted = sink.event(this.eventId, this.buffer, this.dataStart, this.dataEnd);
 		}
-		this.index = -1;
+		this.eventId = -1;
 		this.dataStart = -1;
 		this.eventStart = this.scanned;
 		return accepted;
--- a/daemon/src/main/java/org/acaciacourse/daemon/endpoint/LazySslEngines.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/endpoint/LazySslEngines.java
@@ -18,7 +18,7 @@
  */
 final class LazySslEngines implements SslEngineFactory {
 
-	private Optional<SslEngineFactory> made = Optional.empty();
+	private Optional<SslEngineFactory> delegate = Optional.empty();
 
 	@Override
 	public SSLEngine newSslEngine(AsyncHttpClientConfig config, String peerHost, int peerPort) {
@@ -26,22 +26,22 @@
 	}
 
 	private synchronized SslEngineFactory factory(AsyncHttpClientConfig config) {
-		if (this.made.isEmpty()) {
-			SslEngineFactory next = new DefaultSslEngineFactory();
+		if (this.delegate.isEmpty()) {
+			SslEngineFactory created = new DefaultSslEngineFactory();
 			try {
-				next.init(config);
+				created.init(config);
 			}
 			catch (SSLException ex) {
 				throw new IllegalStateException("TLS is not available", ex);
 			}
-			this.made = Optional.of(next);
+			this.delegate = Optional.of(created);
 		}
-		return this.made.get();
+		return this.delegate.get();
 	}
 
 	@Override
 	public synchronized void destroy() {
-		this.made.ifPresent(SslEngineFactory::destroy);
+		this.delegate.ifPresent(SslEngineFactory::destroy);
 	}
 
 }
--- a/daemon/src/main/java/org/acaciacourse/daemon/endpoint/ReadGate.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/endpoint/ReadGate.java
@@ -21,7 +21,7 @@
 
 	private boolean paused;
 
-	private boolean held;
+	private boolean readPending;
 
 	@Override
 	public void handlerAdded(ChannelHandlerContext ctx) {
@@ -31,17 +31,17 @@
 	@Override
 	public void read(ChannelHandlerContext ctx) {
 		if (this.paused) {
-			this.held = true;
+			this.readPending = true;
 			return;
 		}
 		ctx.read();
 	}
 
-	private void set(boolean pause) {
+	private void setPaused(boolean pause) {
 		this.paused = pause;
 		this.context.channel().config().setAutoRead(!pause);
-		if (!pause && this.held) {
-			this.held = false;
+		if (!pause && this.readPending) {
+			this.readPending = false;
 			this.context.read();
 		}
 	}
@@ -55,7 +55,7 @@
 		if (!(channel.pipeline().get(NAME) instanceof ReadGate gate) || gate.paused) {
 			return false;
 		}
-		gate.set(true);
+		gate.setPaused(true);
 		return true;
 	}
 
@@ -64,10 +64,10 @@
 	 * @param channel the connection
 	 * @param condition asked on its event loop; reading stays paused if it is false
 	 */
-	static void goOn(Channel channel, BooleanSupplier condition) {
+	static void resume(Channel channel, BooleanSupplier condition) {
 		channel.eventLoop().execute(() -> {
 			if (condition.getAsBoolean() && channel.pipeline().get(NAME) instanceof ReadGate gate) {
-				gate.set(false);
+				gate.setPaused(false);
 			}
 		});
 	}
--- a/daemon/src/main/java/org/acaciacourse/daemon/endpoint/RunQuestion.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/endpoint/RunQuestion.java
@@ -32,7 +32,7 @@
 	 * @return what the engine knows; never fails
 	 */
 	public static CompletionStage<Reply> ask(EndpointClient client, String base, String id) {
-		return client.ask("GET", base + "/v1/requests/" + id).handle(RunQuestion::reply);
+		return client.ask("GET", base + "/v1/requests/" + id).handle(RunQuestion::parseStatus);
 	}
 
 	/**
@@ -53,10 +53,10 @@
 	 * @return the time in milliseconds since the epoch, if it says one; never fails
 	 */
 	public static CompletionStage<OptionalLong> started(EndpointClient client, String base) {
-		return client.ask("GET", base + "/load").handle((response, failure) -> started(response));
+		return client.ask("GET", base + "/load").handle((response, failure) -> parseStartTime(response));
 	}
 
-	private static OptionalLong started(Response response) {
+	private static OptionalLong parseStartTime(Response response) {
 		if (response == null || response.getStatusCode() != 200) {
 			return OptionalLong.empty();
 		}
@@ -69,7 +69,7 @@
 		}
 	}
 
-	private static Reply reply(Response response, Throwable failure) {
+	private static Reply parseStatus(Response response, Throwable failure) {
 		if (failure != null) {
 			Throwable cause = (failure instanceof CompletionException) ? failure.getCause() : failure;
 			return new Reply((cause instanceof ConnectException) ? Kind.DOWN : Kind.NO_ANSWER, 0);
--- a/daemon/src/test/java/org/acaciacourse/daemon/endpoint/EndpointCallTests.java
+++ b/daemon/src/test/java/org/acaciacourse/daemon/endpoint/EndpointCallTests.java
@@ -19,7 +19,7 @@
 
 	private final EmbeddedChannel channel = new EmbeddedChannel();
 
-	private final EndpointCall call = new EndpointCall(this.tasks::add, new Ignored());
+	private final EndpointCall call = new EndpointCall(this.tasks::add, new NoOpListener());
 
 	EndpointCallTests() {
 		this.channel.pipeline().addFirst(ReadGate.NAME, new ReadGate());
@@ -36,7 +36,7 @@
 		}
 	}
 
-	private boolean isRead() {
+	private boolean isAutoRead() {
 		this.channel.runPendingTasks();
 		return this.channel.config().isAutoRead();
 	}
@@ -47,26 +47,26 @@
 		// A slow caller leaves chunks waiting. Over the bound the connection is not read;
 		// once half of them are taken it is read again.
 		@Test
-		void readingStopsAtTheBoundAndGoesOnBelowIt() {
-			receive(EndpointCall.MAX_PENDING / 2);
-			assertThat(isRead()).isTrue();
-			receive(EndpointCall.MAX_PENDING / 2);
-			assertThat(isRead()).isFalse();
+		void readingPausesAboveTheLimitAndResumesBelowHalf() {
+			receive(EndpointCall.MAX_PENDING_BYTES / 2);
+			assertThat(isAutoRead()).isTrue();
+			receive(EndpointCall.MAX_PENDING_BYTES / 2);
+			assertThat(isAutoRead()).isFalse();
 			poll(2);
-			assertThat(isRead()).isTrue();
+			assertThat(isAutoRead()).isTrue();
 		}
 
 		// The caller's side takes everything, and before the order to read on is carried
 		// out the rest of the last read comes in and closes the gate again. Taking that
 		// rest must open it: a gate closed for good looked like a silent engine.
 		@Test
-		void orderToGoOnThatComesLateLosesNothing() {
-			receive(EndpointCall.MAX_PENDING + 1);
+		void lateResumeDoesNotLeaveReadingPaused() {
+			receive(EndpointCall.MAX_PENDING_BYTES + 1);
 			poll(1);
-			receive(EndpointCall.MAX_PENDING + 1);
-			assertThat(isRead()).isFalse();
+			receive(EndpointCall.MAX_PENDING_BYTES + 1);
+			assertThat(isAutoRead()).isFalse();
 			poll(1);
-			assertThat(isRead()).isTrue();
+			assertThat(isAutoRead()).isTrue();
 		}
 
 	}
@@ -108,7 +108,7 @@
 
 		// The rest of an answer that is given up may still come over its connection.
 		@Test
-		void callThatIsUnderWayClosesItsConnection() {
+		void releaseDuringResponseClosesTheConnection() {
 			EndpointCallTests.this.call.release();
 			assertThat(isOpen()).isFalse();
 		}
@@ -118,7 +118,7 @@
 		// must not cut the answer which the connection carries by now: its caller got it
 		// in pieces of three attempts, and none if it may not be resumed.
 		@Test
-		void callThatIsOverLeavesItsConnectionToTheNextOne() {
+		void releaseAfterResponseLeavesThePooledConnectionOpen() {
 			EndpointCallTests.this.call.onConnectionOffer(EndpointCallTests.this.channel);
 			EndpointCallTests.this.call.release();
 			assertThat(isOpen()).isTrue();
@@ -126,7 +126,7 @@
 
 		// The order to release crosses the end of the answer on the connection's thread.
 		@Test
-		void connectionThatWasKeptMeanwhileStaysOpen() {
+		void connectionPooledDuringReleaseStaysOpen() {
 			EndpointCallTests.this.call.release();
 			EndpointCallTests.this.call.onConnectionOffer(EndpointCallTests.this.channel);
 			assertThat(isOpen()).isTrue();
@@ -135,7 +135,7 @@
 		// A whole answer came under the id of another request. Its connection was offered
 		// before that was seen; the next answer over it would be a foreign one too.
 		@Test
-		void connectionThatIsNotTrustedIsClosedAlthoughItWasOffered() {
+		void untrustedConnectionIsClosedEvenIfPooled() {
 			EndpointCallTests.this.call.onConnectionOffer(EndpointCallTests.this.channel);
 			EndpointCallTests.this.call.close();
 			assertThat(isOpen()).isFalse();
@@ -144,7 +144,7 @@
 	}
 
 	/** Ignores what arrives. */
-	private static final class Ignored implements EndpointCall.Listener {
+	private static final class NoOpListener implements EndpointCall.Listener {
 
 		@Override
 		public void paused() {
--- a/daemon/src/test/java/org/acaciacourse/daemon/endpoint/LazySslEnginesTests.java
+++ b/daemon/src/test/java/org/acaciacourse/daemon/endpoint/LazySslEnginesTests.java
@@ -15,7 +15,7 @@
 	// The client prepares its engines at its start; the first connection over TLS has to
 	// find them all the same, set up to check the name of its peer.
 	@Test
-	void firstConnectionGetsAnEngineThatChecksItsPeer() throws Exception {
+	void firstConnectionGetsAnEngineThatVerifiesItsPeer() throws Exception {
 		LazySslEngines engines = new LazySslEngines();
 		engines.init(this.config);
 		SSLEngine engine = engines.newSslEngine(this.config, "endpoint.example", 443);
@@ -27,7 +27,7 @@
 
 	// A process that only spoke plain HTTP ends.
 	@Test
-	void enginesThatWereNeverUsedCanBeEnded() {
+	void unusedFactoryCanBeDestroyed() {
 		new LazySslEngines().destroy();
 	}
 
