--- a/daemon/src/main/java/org/acaciacourse/daemon/http/CallerRequest.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/http/CallerRequest.java
@@ -6,16 +6,16 @@
 import io.netty.handler.codec.http.HttpHeaders;
 
 /**
- * A request as a caller sent it, received to its end.
+ * A completely received request of a caller.
  * <p>
- * Not thread safe: belongs to the event loop of its connection; the body is not copied.
+ * Not thread safe: belongs to the event loop of its connection. The body is not copied.
  *
  * @param method the HTTP method
- * @param target the path with the query, byte for byte
+ * @param target the request target: path and query, unmodified
  * @param path the path without the query
  * @param query the query without the question mark, may be empty
  * @param headers the headers
- * @param body the whole body
+ * @param body the complete body
  */
 public record CallerRequest(String method, String target, String path, String query, HttpHeaders headers, byte[] body) {
 
@@ -28,9 +28,9 @@
 	}
 
 	/**
-	 * Return a header if it is there and not empty.
+	 * Return the value of a header if it is present and not blank.
 	 * @param name the name
-	 * @return the first value
+	 * @return the first value, stripped
 	 */
 	public Optional<String> header(String name) {
 		return Optional.ofNullable(this.headers.get(name)).map(String::strip).filter((value) -> !value.isEmpty());
--- a/daemon/src/main/java/org/acaciacourse/daemon/http/CallerResponse.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/http/CallerResponse.java
@@ -21,8 +21,8 @@
 import io.netty.util.concurrent.EventExecutor;
 
 /**
- * Takes the answer to one request: either a plain one, or a stream of events. Exactly one
- * end is written; what comes after it is dropped.
+ * The response to one request: either a complete response or a stream of events. It is
+ * ended exactly once; anything written after that is dropped.
  * <p>
  * Not thread safe: belongs to the event loop of its connection.
  */
@@ -62,7 +62,7 @@
 	}
 
 	/**
-	 * Set what to do if the caller goes away before the end.
+	 * Set the action to run if the caller disconnects before the response has ended.
 	 * @param action the action
 	 */
 	public void onGone(Runnable action) {
@@ -70,7 +70,7 @@
 	}
 
 	/**
-	 * Set what to do when the caller takes data again.
+	 * Set the action to run when the connection becomes writable again.
 	 * @param action the action
 	 */
 	public void onWritable(Runnable action) {
@@ -78,23 +78,23 @@
 	}
 
 	/**
-	 * Return whether the caller takes more data at present.
-	 * @return whether to write on
+	 * Return whether the connection accepts more data without exceeding its write buffer.
+	 * @return whether the connection is writable
 	 */
 	public boolean isWritable() {
 		return this.channel.isWritable();
 	}
 
 	/**
-	 * Return whether the head of a stream was written.
-	 * @return whether only events may follow
+	 * Return whether a complete response or the head of a stream has been written.
+	 * @return whether the status and the headers can no longer be changed
 	 */
 	public boolean isStarted() {
 		return this.started;
 	}
 
 	/**
-	 * Write a whole answer.
+	 * Write a complete response.
 	 * @param status the HTTP status
 	 * @param headers the headers
 	 * @param body the body
@@ -106,9 +106,9 @@
 	}
 
 	/**
-	 * Write a whole answer.
+	 * Write a complete response.
 	 * @param status the HTTP status
-	 * @param headers the headers; a name may stand more than once
+	 * @param headers the headers; a name may occur more than once
 	 * @param body the body
 	 */
 	public void answer(int status, HttpHeaders headers, byte[] body) {
@@ -125,9 +125,9 @@
 	}
 
 	/**
-	 * Refuse the request.
+	 * Write an error response that refuses the request.
 	 * @param refusal the reason
-	 * @param requestId the id of the request
+	 * @param requestId the id of the request, empty to send none
 	 */
 	public void refuse(Refusal refusal, String requestId) {
 		Map<String, String> headers = new HashMap<>();
@@ -140,7 +140,7 @@
 	}
 
 	/**
-	 * Write the head of a stream of events.
+	 * Write the status line and the headers of a stream of events.
 	 * @param headers the headers
 	 */
 	public void startStream(Map<String, String> headers) {
@@ -150,9 +150,9 @@
 	}
 
 	/**
-	 * Write the head of a stream of events.
+	 * Write the status line and the headers of a stream of events.
 	 * @param status the HTTP status
-	 * @param headers the headers, none of which tells a length
+	 * @param headers the headers, without a content length
 	 */
 	public void startStream(int status, HttpHeaders headers) {
 		if (this.started || this.ended) {
@@ -169,8 +169,8 @@
 	}
 
 	/**
-	 * Write a part of a stream without flushing it.
-	 * @param data the data, taken over
+	 * Write a chunk of a stream without flushing it.
+	 * @param data the data; this method takes ownership and releases it
 	 */
 	public void write(ByteBuf data) {
 		if (this.ended) {
@@ -180,7 +180,7 @@
 		this.channel.write(new DefaultHttpContent(data));
 	}
 
-	/** Flush what was written. */
+	/** Flush the data written so far. */
 	public void flush() {
 		this.channel.flush();
 	}
@@ -192,7 +192,7 @@
 		}
 	}
 
-	/** Close the connection or the HTTP/2 stream at once. */
+	/** Close the connection or the HTTP/2 stream immediately. */
 	public void abort() {
 		this.channel.close();
 	}
--- a/daemon/src/main/java/org/acaciacourse/daemon/http/ConnectionInitializer.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/http/ConnectionInitializer.java
@@ -17,17 +17,17 @@
 import io.netty.handler.ssl.ApplicationProtocolNegotiationHandler;
 
 /**
- * Sets up the handlers of a caller's connection: HTTP/1.1, HTTP/2 with prior knowledge,
- * or either over TLS as negotiated by ALPN.
+ * Configures the channel pipeline of a caller's connection: HTTP/1.1, HTTP/2 with prior
+ * knowledge, or either over TLS as negotiated by ALPN.
  * <p>
  * Thread safe.
  */
 final class ConnectionInitializer extends ChannelInitializer<Channel> {
 
-	/** Name of the reader of an HTTP/1.1 connection. */
+	/** Handler name of the request reader in the pipeline of an HTTP/1.1 connection. */
 	static final String READER = "reader";
 
-	/** Name of the codec of an HTTP/2 connection. */
+	/** Handler name of the frame codec in the pipeline of an HTTP/2 connection. */
 	static final String HTTP2 = "http2";
 
 	private final Supplier<HttpLimits> limits;
@@ -85,7 +85,7 @@
 		pipeline.addLast(new Http2Keepalive());
 	}
 
-	/** Sets up what ALPN chose. */
+	/** Configures the pipeline for the protocol that ALPN negotiated. */
 	private final class AlpnHandler extends ApplicationProtocolNegotiationHandler {
 
 		private AlpnHandler() {
--- a/daemon/src/main/java/org/acaciacourse/daemon/http/ConnectionLimiter.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/http/ConnectionLimiter.java
@@ -14,8 +14,8 @@
 import org.acaciacourse.core.code.ResultCode;
 
 /**
- * Counts connections, refuses those over the bound, and remembers the others for the
- * shutdown.
+ * Limits the number of open connections: a connection over the limit gets a 503 response
+ * and is closed. The accepted ones are kept in a set for the shutdown.
  * <p>
  * Thread safe.
  */
@@ -38,9 +38,9 @@
 	}
 
 	/**
-	 * Return whether a connection takes no further request.
+	 * Return whether a connection accepts no further requests.
 	 * @param channel the connection, or an HTTP/2 stream of it
-	 * @return whether it is to be closed after the answer
+	 * @return whether it is to be closed after the current response
 	 */
 	static boolean isClosing(Channel channel) {
 		Channel connection = (channel.parent() instanceof io.netty.channel.socket.SocketChannel) ? channel.parent()
--- a/daemon/src/main/java/org/acaciacourse/daemon/http/Http2Keepalive.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/http/Http2Keepalive.java
@@ -10,9 +10,10 @@
 import io.netty.util.concurrent.ScheduledFuture;
 
 /**
- * Finds HTTP/2 connections that went silent: a PING without an answer by the next one
- * closes the connection. TCP alone would not tell for many minutes, and requests of a
- * caller that is gone would hold their places at the engines for as long.
+ * Detects dead HTTP/2 connections: sends a PING periodically and closes the connection if
+ * the previous one has not been acknowledged. TCP alone would take many minutes to detect
+ * the loss, and the requests of a disconnected caller would occupy their slots at the
+ * engines for as long.
  * <p>
  * Not thread safe: belongs to the event loop of its connection.
  */
--- a/daemon/src/main/java/org/acaciacourse/daemon/http/HttpFront.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/http/HttpFront.java
@@ -25,15 +25,15 @@
 import org.acaciacourse.core.settings.Settings;
 
 /**
- * The callers' HTTP server.
+ * The HTTP server for callers.
  * <p>
- * Thread safe. Requests are handed over on the event loop of their connection.
+ * Thread safe. Requests are handled on the event loop of their connection.
  */
 public final class HttpFront {
 
 	private static final long TLS_CHECK_SECONDS = 2;
 
-	/** Connections that wait to be accepted: those of a second at the highest load. */
+	/** Accept backlog: holds the connections that arrive within a second at peak load. */
 	private static final int BACKLOG = 1024;
 
 	private final InetSocketAddress address;
@@ -53,10 +53,10 @@
 	private Channel listener;
 
 	/**
-	 * Make the server of an entry VM.
+	 * Create the server of an entry VM.
 	 * @param settings the settings, with the address and the TLS files
 	 * @param workers the event loops of the connections
-	 * @param handler gets the requests
+	 * @param handler handles the requests
 	 */
 	public HttpFront(Settings settings, EventLoopGroup workers, RequestHandler handler) {
 		this(settings.address(SettingKey.ENTRY_LISTEN), fixed(HttpLimits.of(settings)), Optional.of(settings), workers,
@@ -65,11 +65,12 @@
 	}
 
 	/**
-	 * Make a server in plain text that accepts on the event loops of its connections.
-	 * @param address where it listens
-	 * @param limits the bounds for each new connection
-	 * @param workers the event loops, which are left to their owner
-	 * @param handler gets the requests
+	 * Create a server without TLS that accepts connections on the event loops that also
+	 * serve them.
+	 * @param address the address to listen on
+	 * @param limits supplies the limits for each new connection
+	 * @param workers the event loops, which the owner shuts down
+	 * @param handler handles the requests
 	 */
 	public HttpFront(InetSocketAddress address, Supplier<HttpLimits> limits, EventLoopGroup workers,
 			RequestHandler handler) {
@@ -77,10 +78,10 @@
 	}
 
 	/**
-	 * Open a socket that listens, before anything that would serve it is there: callers
-	 * that connect meanwhile wait in its queue and are not refused.
-	 * @param address where it listens
-	 * @return the socket
+	 * Open a listening socket before the server exists: callers that connect during
+	 * start-up wait in its backlog instead of being refused.
+	 * @param address the address to listen on
+	 * @return the listening socket
 	 * @throws IOException if the address can't be used
 	 */
 	public static ServerSocketChannel open(InetSocketAddress address) throws IOException {
@@ -124,8 +125,8 @@
 	}
 
 	/**
-	 * Accept connections.
-	 * @param socket a socket that listens already, else one is bound
+	 * Accept connections on a given socket.
+	 * @param socket a socket that is already listening; if empty, one is bound
 	 * @throws IOException if the address or the TLS files can't be used
 	 */
 	public void start(Optional<ServerSocketChannel> socket) throws IOException {
@@ -155,14 +156,15 @@
 		return ((InetSocketAddress) this.listener.localAddress()).getPort();
 	}
 
-	/** From now on each connection is closed after the answer it waits for. */
+	/** Close each open connection after its next response. */
 	public void closeAfterAnswers() {
 		this.limiter.channels().forEach(ConnectionLimiter::markClosing);
 	}
 
 	/**
-	 * Accept no more connections and let the open ones end: HTTP/2 gets GOAWAY, idle
-	 * HTTP/1.1 connections are closed, busy ones after their answer.
+	 * Stop accepting connections and close the open ones gracefully: HTTP/2 connections
+	 * get a GOAWAY frame, idle HTTP/1.1 connections are closed at once and busy ones
+	 * after their response.
 	 */
 	public void stopAccepting() {
 		this.listener.close().awaitUninterruptibly();
@@ -183,16 +185,16 @@
 	}
 
 	/**
-	 * Return how many connections are open.
-	 * @return the number
+	 * Return the number of open connections.
+	 * @return the number of connections
 	 */
 	public int connections() {
 		return this.limiter.channels().size();
 	}
 
 	/**
-	 * Return whether no answer waits to be taken by its caller.
-	 * @return whether all bytes that were written have left for the callers
+	 * Return whether no connection has data waiting to be written to its caller.
+	 * @return whether all bytes of the responses were written to the sockets
 	 */
 	public boolean isIdle() {
 		return this.limiter.channels().stream().allMatch(HttpFront::hasNoPendingBytes);
@@ -204,7 +206,8 @@
 	}
 
 	/**
-	 * Close all connections and accept no more; the event loops are left to their owner.
+	 * Stop accepting connections and close the open ones. The worker event loops are left
+	 * to their owner.
 	 */
 	public void close() {
 		this.limiter.channels().forEach(Channel::close);
--- a/daemon/src/main/java/org/acaciacourse/daemon/http/HttpLimits.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/http/HttpLimits.java
@@ -7,37 +7,37 @@
 import org.acaciacourse.core.settings.Settings;
 
 /**
- * Bounds on what a caller may send.
+ * Limits on requests and connections of callers.
  * <p>
  * Immutable and thread safe.
  *
- * @param maxBody largest body in bytes
- * @param maxConnections most connections at a time
- * @param readTimeout time in which a whole request has to be received
- * @param maxHeader largest header section in bytes
+ * @param maxBody maximum size of a request body in bytes
+ * @param maxConnections maximum number of open connections
+ * @param readTimeout time within which a complete request must be received
+ * @param maxHeader maximum size of the header section in bytes
  * @param idleTimeout time after which an idle connection is closed
  */
 public record HttpLimits(int maxBody, int maxConnections, Duration readTimeout, int maxHeader, Duration idleTimeout) {
 
-	/** Largest request line in bytes. */
+	/** Maximum length of the request line in bytes. */
 	static final int MAX_LINE = 8 * 1024;
 
-	/** Largest header section in bytes. */
+	/** Default maximum size of the header section in bytes. */
 	private static final int MAX_HEADER_BYTES = 32 * 1024;
 
-	/** Most headers of a request. */
+	/** Maximum number of header fields in a request. */
 	static final int MAX_HEADERS = 100;
 
-	/** Most concurrent streams of an HTTP/2 connection. */
+	/** Maximum number of concurrent streams of an HTTP/2 connection. */
 	static final int MAX_STREAMS = 1024;
 
-	/** Time after which an idle connection is closed. */
+	/** Default time after which an idle connection is closed. */
 	private static final Duration IDLE_TIMEOUT = Duration.ofSeconds(90);
 
 	/**
-	 * Read the bounds of an entry VM.
+	 * Read the limits of an entry VM.
 	 * @param settings the settings
-	 * @return the bounds
+	 * @return the limits
 	 */
 	public static HttpLimits of(Settings settings) {
 		int maxBody = (int) Math.min(settings.bytes(SettingKey.ENTRY_MAX_BODY), Integer.MAX_VALUE);
@@ -46,9 +46,9 @@
 	}
 
 	/**
-	 * Return these bounds with those that a routing manifest declares.
-	 * @param declared the declared bounds
-	 * @return the bounds
+	 * Return these limits with those that a routing manifest declares in their place.
+	 * @param declared the limits declared in the manifest
+	 * @return the limits
 	 */
 	public HttpLimits with(CallerLimits declared) {
 		return new HttpLimits(declared.maxBodyBytes(), this.maxConnections, this.readTimeout, declared.maxHeaderBytes(),
--- a/daemon/src/main/java/org/acaciacourse/daemon/http/ProtocolDetector.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/http/ProtocolDetector.java
@@ -15,7 +15,8 @@
 import io.netty.util.concurrent.ScheduledFuture;
 
 /**
- * Tells HTTP/2 with prior knowledge from HTTP/1.1 by the first bytes of a connection.
+ * Distinguishes HTTP/2 with prior knowledge from HTTP/1.1 by the first bytes of a
+ * connection.
  * <p>
  * Not thread safe: belongs to one connection.
  */
@@ -38,8 +39,9 @@
 		this.http2 = http2;
 	}
 
-	// A connection that never sends enough to be told apart would hold its place for
-	// good.
+	// Without the timeout, a connection that never sends enough bytes to be classified
+	// would
+	// count against the connection limit for ever.
 	@Override
 	public void handlerAdded(ChannelHandlerContext ctx) {
 		this.timer = ctx.executor().schedule(() -> ctx.close(), this.timeout.toMillis(), TimeUnit.MILLISECONDS);
--- a/daemon/src/main/java/org/acaciacourse/daemon/http/Refusal.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/http/Refusal.java
@@ -8,20 +8,21 @@
 import org.acaciacourse.core.code.RunState;
 
 /**
- * A refusal as callers see it: a JSON object with the code and whether the request ran.
+ * An error response for callers: a JSON object with the result code and whether the
+ * request was run.
  * <p>
  * Immutable and thread safe.
  *
  * @param code the reason
  * @param run whether an endpoint ran the request
- * @param retryAfter when a repeat makes sense
+ * @param retryAfter the delay after which the caller may retry
  */
 public record Refusal(ResultCode code, RunState run, Optional<Duration> retryAfter) {
 
 	private static final Duration DEFAULT_RETRY = Duration.ofSeconds(1);
 
 	/**
-	 * Make a refusal before any endpoint was asked.
+	 * Create a refusal of a request that was not sent to any endpoint.
 	 * @param code the reason
 	 * @return the refusal
 	 */
@@ -30,10 +31,11 @@
 	}
 
 	/**
-	 * Make a refusal; a code that permits a repeat gets a time to come back.
+	 * Create a refusal. A retryable code without a given delay gets the default of 1 s; a
+	 * code that is not retryable gets none.
 	 * @param code the reason
 	 * @param run whether an endpoint ran the request
-	 * @param retryAfter when a repeat makes sense, if that is known
+	 * @param retryAfter the delay after which the caller may retry, if known
 	 * @return the refusal
 	 */
 	public static Refusal of(ResultCode code, RunState run, Optional<Duration> retryAfter) {
@@ -43,7 +45,7 @@
 	}
 
 	/**
-	 * Return the JSON object.
+	 * Return the refusal as a JSON object.
 	 * @return the text
 	 */
 	public String json() {
@@ -56,7 +58,7 @@
 	}
 
 	/**
-	 * Return the JSON object as bytes.
+	 * Return the refusal as an encoded JSON object.
 	 * @return the bytes in UTF-8
 	 */
 	public byte[] bytes() {
--- a/daemon/src/main/java/org/acaciacourse/daemon/http/ReloadableTlsContext.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/http/ReloadableTlsContext.java
@@ -17,11 +17,11 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * The TLS context made of two PEM files, made anew when one of them changes. Files that
- * can't be used leave the context as it was: a half written certificate must not stop
- * callers. They are read once they stay the same from one check to the next: between the
- * writes of the two files a new key stands beside an old certificate, and every handshake
- * would fail.
+ * A TLS context loaded from two PEM files and reloaded when one of them changes. If
+ * loading fails, the current context stays in use: a partially written certificate must
+ * not lock callers out. Changed files are loaded only once their modification times are
+ * the same in two consecutive checks: between the writes of the two files, a new key is
+ * paired with an old certificate, and every handshake would fail.
  * <p>
  * Thread safe: {@link #reloadIfChanged} is called by one thread, {@link #context} by any.
  */
--- a/daemon/src/main/java/org/acaciacourse/daemon/http/RequestHandler.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/http/RequestHandler.java
@@ -3,21 +3,21 @@
 import org.acaciacourse.core.code.ResultCode;
 
 /**
- * Gets what callers send.
+ * Handles the requests of callers.
  * <p>
- * Thread safe: called on the event loops of all connections, which it must not block.
+ * Thread safe: called on the event loops of all connections, which must not be blocked.
  */
 public interface RequestHandler {
 
 	/**
-	 * A whole request was received.
+	 * Called when a request has been received completely.
 	 * @param request the request
-	 * @param response takes the answer; belongs to the calling event loop
+	 * @param response the response to write; belongs to the calling event loop
 	 */
 	void handle(CallerRequest request, CallerResponse response);
 
 	/**
-	 * A request was refused while it was received.
+	 * Called when a request or a connection was refused before a request was complete.
 	 * @param code the reason
 	 */
 	void refused(ResultCode code);
--- a/daemon/src/main/java/org/acaciacourse/daemon/http/RequestReader.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/http/RequestReader.java
@@ -25,9 +25,10 @@
 import org.acaciacourse.core.code.ResultCode;
 
 /**
- * Receives requests of one HTTP/1.1 connection, or the one request of an HTTP/2 stream.
- * Requests of a connection are handled one after the other; a pipelined one waits unread,
- * so that a caller can't fill the memory with requests it has no answers to.
+ * Reads the requests of an HTTP/1.1 connection, or the single request of an HTTP/2
+ * stream. Requests of a connection are processed sequentially. The first pipelined data
+ * that arrives while a response is pending is queued and pauses reading from the socket,
+ * so that a caller can't exhaust the memory with requests that await a response.
  * <p>
  * Not thread safe: belongs to the event loop of its connection.
  */
@@ -177,6 +178,8 @@
 		}
 	}
 
+	// ResultCode.OK stands for the idle timeout: the connection is closed without a
+	// response.
 	private void refuse(ChannelHandlerContext ctx, ResultCode code) {
 		if (this.discarding || this.response != null) {
 			return;
@@ -195,9 +198,11 @@
 		this.response.refuse(Refusal.notRun(code), "");
 	}
 
-	// The rest of a refused request is read and thrown away for a moment: closing with
-	// unread bytes would reset the connection, and the caller would never see the
-	// refusal.
+	// Keeps reading and discarding the rest of a refused request for LINGER_MILLIS:
+	// closing
+	// a socket with unread bytes resets the connection, and the caller would never
+	// receive
+	// the refusal.
 	private void closeAfterLinger(ChannelHandlerContext ctx) {
 		if (ctx.channel() instanceof SocketChannel socket) {
 			socket.shutdownOutput();
@@ -230,7 +235,7 @@
 	}
 
 	/**
-	 * Return whether a request is being received or answered.
+	 * Return whether a request is being received or its response is pending.
 	 * @return whether the connection is in use
 	 */
 	boolean isBusy() {
--- a/daemon/src/main/java/org/acaciacourse/daemon/http/package-info.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/http/package-info.java
@@ -1,4 +1,5 @@
 /**
- * The callers' HTTP server: HTTP/1.1 and HTTP/2, bounds on what a caller may send, TLS.
+ * The HTTP server for callers: HTTP/1.1 and HTTP/2, TLS, limits on requests and
+ * connections.
  */
 package org.acaciacourse.daemon.http;
--- a/daemon/src/test/java/org/acaciacourse/daemon/http/HttpFrontTests.java
+++ b/daemon/src/test/java/org/acaciacourse/daemon/http/HttpFrontTests.java
@@ -24,9 +24,11 @@
 	private static final HttpLimits LIMITS = new HttpLimits(1_000, 10, Duration.ofSeconds(20), 1_000,
 			Duration.ofSeconds(20));
 
-	// After a loss of power a caller connects while the process is still starting. It is
-	// not refused: its request waits in the socket's queue and is served once the server
-	// is there.
+	// A caller that connects while the process is still starting, for example after a
+	// power
+	// failure, must not be refused: its request waits in the backlog of the listening
+	// socket
+	// and is served once the server has started.
 	@Test
 	void requestSentBeforeTheServerStartsIsServed() throws Exception {
 		EventLoopGroup loops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -50,7 +52,7 @@
 		}
 	}
 
-	/** Answers every request. */
+	/** Responds to every request with status 200. */
 	private static final class OkHandler implements RequestHandler {
 
 		@Override
