--- a/daemon/src/main/java/org/acaciacourse/daemon/http/ReloadableTlsContext.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/http/ReloadableTlsContext.java
@@ -57,12 +57,12 @@
 			if (!currentTimes.equals(this.loadedTimes) && currentTimes.equals(this.lastSeenTimes)) {
 				this.context = load();
 				this.loadedTimes = currentTimes;
-				logger.info("certificate reloaded");
+				logger.info("TLS certificate reloaded");
 			}
 			this.lastSeenTimes = currentTimes;
 		}
 		catch (IOException | RuntimeException ex) {
-			logger.warn("certificate cannot be reloaded: {}", ex.toString());
+			logger.warn("cannot reload TLS certificate, keeping the current one: {}", ex.toString());
 		}
 	}
 
