--- a/daemon/src/main/java/org/acaciacourse/daemon/http/ProtocolDetector.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/http/ProtocolDetector.java
@@ -40,8 +40,7 @@
 	}
 
 	// Without the timeout, a connection that never sends enough bytes to be classified
-	// would
-	// count against the connection limit for ever.
+	// would count against the connection limit for ever.
 	@Override
 	public void handlerAdded(ChannelHandlerContext ctx) {
 		this.timer = ctx.executor().schedule(() -> ctx.close(), this.timeout.toMillis(), TimeUnit.MILLISECONDS);
--- a/daemon/src/main/java/org/acaciacourse/daemon/http/RequestReader.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/http/RequestReader.java
@@ -199,10 +199,8 @@
 	}
 
 	// Keeps reading and discarding the rest of a refused request for LINGER_MILLIS:
-	// closing
-	// a socket with unread bytes resets the connection, and the caller would never
-	// receive
-	// the refusal.
+	// closing a socket with unread bytes resets the connection, and the caller would
+	// never receive the refusal.
 	private void closeAfterLinger(ChannelHandlerContext ctx) {
 		if (ctx.channel() instanceof SocketChannel socket) {
 			socket.shutdownOutput();
--- a/daemon/src/test/java/org/acaciacourse/daemon/http/HttpFrontTests.java
+++ b/daemon/src/test/java/org/acaciacourse/daemon/http/HttpFrontTests.java
@@ -25,10 +25,8 @@
 			Duration.ofSeconds(20));
 
 	// A caller that connects while the process is still starting, for example after a
-	// power
-	// failure, must not be refused: its request waits in the backlog of the listening
-	// socket
-	// and is served once the server has started.
+	// power failure, must not be refused: its request waits in the backlog of the
+	// listening socket and is served once the server has started.
 	@Test
 	void requestSentBeforeTheServerStartsIsServed() throws Exception {
 		EventLoopGroup loops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
