--- a/daemon/src/main/java/org/acaciacourse/daemon/endpoint/EndpointCall.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/endpoint/EndpointCall.java
@@ -17,19 +17,20 @@
 import org.jctools.queues.SpscUnboundedArrayQueue;
 
 /**
- * One HTTP exchange with an endpoint. What arrives is handed to the listener on the
- * listener's own executor, in order; several chunks share one hand-over.
+ * One HTTP exchange with an endpoint. The response is delivered to the listener in order
+ * on the executor of the call; several chunks may share one notification.
  * <p>
- * A call that was closed before its first byte was handed to the connection is never
- * sent: the two race for one state, so that "not sent" is certain. Chunks that wait for
- * the listener are bounded: over {@link #MAX_PENDING_BYTES} bytes the connection is not
- * read.
+ * A call that is closed before its first byte is passed to the connection is never sent:
+ * closing and sending compete for the same atomic state, so that "not sent" is certain.
+ * Chunks that the listener has not polled yet are bounded: while they exceed
+ * {@link #MAX_PENDING_BYTES}, the connection is not read.
  * <p>
  * Thread safe: the HTTP client calls it on its event loops, the listener's side calls
  * {@link #close}.
  */
 public final class EndpointCall implements AsyncHandler<Void> {
 
+	/** Size of unpolled chunks in bytes over which reading pauses. */
 	static final int MAX_PENDING_BYTES = 256 * 1024;
 
 	private static final int CHUNK_OVERHEAD = 64;
@@ -48,7 +49,7 @@
 
 	private volatile Channel channel;
 
-	// Set on the event loop of the connection, and read there.
+	// Written and read on the event loop of the connection only.
 	private volatile boolean returnedToPool;
 
 	private int status;
@@ -62,15 +63,15 @@
 
 	/**
 	 * Return whether a byte of the request may have been sent.
-	 * @return false only if none was and none will be
+	 * @return false only if none was sent and none will be
 	 */
 	public boolean maySent() {
 		return this.stage.get() == Stage.SENT;
 	}
 
 	/**
-	 * Give the call up and its connection with it, whoever uses that by now: what came
-	 * over it cannot be trusted, and neither can what comes next.
+	 * Cancel the call and close its connection, even if another call uses it by now: the
+	 * data received over it can't be trusted, and neither can any further data.
 	 * @return whether a byte of the request may have been sent
 	 */
 	public boolean close() {
@@ -83,9 +84,9 @@
 	}
 
 	/**
-	 * Give the call up: nothing more reaches the listener. The connection is closed, as
-	 * the rest of the answer may still come over it, unless the answer came to its end
-	 * and the connection was offered for other calls: then it is theirs.
+	 * Cancel the call. The connection is closed, as the rest of the response may still
+	 * arrive over it, unless the response is complete and the connection was returned to
+	 * the pool, where another call may use it.
 	 * @return whether a byte of the request may have been sent
 	 */
 	public boolean release() {
@@ -101,8 +102,9 @@
 		return !this.stage.compareAndSet(Stage.PREPARED, Stage.CLOSED) && this.stage.get() == Stage.SENT;
 	}
 
-	// On the connection's thread, which also offers it: checked elsewhere, another call
-	// could begin on the connection between the check and the closing.
+	// Runs on the event loop of the connection, which also returns it to the pool. On
+	// another thread, a call could start on the connection between the check and the
+	// close.
 	private void closeUnlessPooled(Channel open) {
 		if (!this.returnedToPool) {
 			open.close();
@@ -171,8 +173,9 @@
 	}
 
 	/**
-	 * Take the next chunk of the answer; the listener's side only.
-	 * @return the chunk, empty if none waits
+	 * Return and remove the next chunk of the response. Called by the listener's side
+	 * only.
+	 * @return the chunk, empty if none is pending
 	 */
 	public Optional<byte[]> poll() {
 		byte[] bytes = this.chunks.poll();
@@ -181,10 +184,10 @@
 		}
 		int size = bytes.length + CHUNK_OVERHEAD;
 		int waiting = this.pendingBytes.addAndGet(-size);
-		// The gate is closed and opened on the event loop of the connection only. It was
-		// closed over the bound, so that this crossing always comes after, and can't be
-		// missed: with a flag shared by both sides, a closing that overtook its opening
-		// left the connection unread for good.
+		// Reading is paused and resumed on the event loop of the connection only. It was
+		// paused above the limit, so that the crossing of half the limit always follows
+		// and can't be missed. With a flag shared by both sides, a pause that overtook
+		// the preceding resume left the connection unread for ever.
 		if (waiting < MAX_PENDING_BYTES / 2 && waiting + size >= MAX_PENDING_BYTES / 2) {
 			ReadGate.resume(this.channel, () -> this.pendingBytes.get() <= MAX_PENDING_BYTES);
 		}
@@ -210,7 +213,7 @@
 	}
 
 	/**
-	 * Status and headers of an answer.
+	 * Status and headers of a response.
 	 *
 	 * @param status the HTTP status
 	 * @param headers the headers
@@ -220,7 +223,7 @@
 		/**
 		 * Return a header.
 		 * @param name the name
-		 * @return the value, empty if it is missing
+		 * @return the value, an empty string if it is missing
 		 */
 		public String header(String name) {
 			return this.headers.get(name, "");
@@ -229,45 +232,46 @@
 	}
 
 	/**
-	 * What to send.
+	 * A request to send.
 	 *
 	 * @param method the HTTP method
-	 * @param url the whole address
+	 * @param url the complete URL
 	 * @param headers the headers
 	 * @param body the body, empty for none
-	 * @param fresh whether to open a connection for this call only
+	 * @param fresh whether to open a new connection that is used for this call only
 	 */
 	public record Request(String method, String url, Map<String, String> headers, byte[] body, boolean fresh) {
 	}
 
 	/**
-	 * Gets what arrives, on the executor of the call.
+	 * Receives the events of a call, on the executor of the call unless stated otherwise.
 	 */
 	public interface Listener {
 
 		/**
-		 * Reading was paused, as too much waits to be polled. Called on the HTTP client's
-		 * thread.
+		 * Called when reading was paused because too much data waits to be polled. Runs
+		 * on the event loop of the HTTP client.
 		 */
 		void paused();
 
 		/**
-		 * The head of the answer arrived.
+		 * Called when the head of the response was received.
 		 * @param call the call
 		 * @param head status and headers
 		 */
 		void head(EndpointCall call, Head head);
 
 		/**
-		 * Chunks can be polled.
+		 * Called when chunks can be polled.
 		 * @param call the call
 		 */
 		void readable(EndpointCall call);
 
 		/**
-		 * The exchange ended; chunks may still wait to be polled.
+		 * Called when the exchange has ended; chunks may still wait to be polled.
 		 * @param call the call
-		 * @param whole whether the answer was received to its proven end
+		 * @param whole whether the end of the response was proven by its length or its
+		 * transfer coding
 		 */
 		void ended(EndpointCall call, boolean whole);
 
--- a/daemon/src/main/java/org/acaciacourse/daemon/endpoint/EndpointClient.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/endpoint/EndpointClient.java
@@ -22,12 +22,14 @@
 import org.asynchttpclient.netty.request.NettyRequest;
 
 /**
- * HTTP to the endpoints over two sets of connections: kept ones for requests that may be
- * repeated, and fresh ones for a request that may not, for resuming and for asking.
+ * HTTP client for the endpoints. It uses pooled connections for requests that may be
+ * repeated, and new connections for requests that may not, for resuming and for status
+ * queries.
  * <p>
- * The client's own retries and redirects are off: each attempt is the dispatcher's
- * decision, and a hidden second send would run a request twice. Idle connections are
- * dropped after a few seconds, before something between the two ends forgets them.
+ * Retries and redirects of the underlying HTTP client are disabled: the dispatcher
+ * decides on each attempt, and a hidden second send would run a request twice. Idle
+ * connections are closed after a few seconds, before an intermediate network device drops
+ * their state.
  * <p>
  * Thread safe.
  */
@@ -54,15 +56,15 @@
 	private final AsyncHttpClient unpooledClient;
 
 	/**
-	 * Make a client with event loops of its own.
-	 * @param threads how many
+	 * Create a client with event loops of its own.
+	 * @param threads the number of event loops
 	 */
 	public EndpointClient(int threads) {
 		this(eventLoops(threads), true);
 	}
 
 	/**
-	 * Make a client on the event loops of another, who ends them.
+	 * Create a client on shared event loops, which their owner shuts down.
 	 * @param loops the event loops
 	 */
 	public EndpointClient(EventLoopGroup loops) {
@@ -77,9 +79,9 @@
 	}
 
 	/**
-	 * Make event loops that the HTTP client accepts. It knows only this kind of group,
-	 * which Netty 4.2 keeps for its sake.
-	 * @param threads how many
+	 * Create event loops that the HTTP client accepts. It supports only this type of
+	 * group, which is deprecated in Netty 4.2.
+	 * @param threads the number of event loops
 	 * @return the event loops
 	 */
 	@SuppressWarnings("deprecation")
@@ -114,9 +116,9 @@
 	}
 
 	/**
-	 * Send a request; the call gets what comes back.
-	 * @param request what to send
-	 * @param call the call
+	 * Send a request; the response is delivered to the call.
+	 * @param request the request
+	 * @param call receives the response
 	 */
 	public void send(EndpointCall.Request request, EndpointCall call) {
 		AsyncHttpClient client = (request.fresh()) ? this.unpooledClient : this.pooledClient;
@@ -129,32 +131,32 @@
 	}
 
 	/**
-	 * Ask an endpoint for something small over a fresh connection.
+	 * Send a short request without a body over a new connection.
 	 * @param method the HTTP method
-	 * @param url the whole address
-	 * @return the answer; fails if there is none in two seconds
+	 * @param url the complete URL
+	 * @return the response; fails if none is received within 2 s
 	 */
 	public CompletionStage<Response> ask(String method, String url) {
 		return sendShortRequest(this.unpooledClient, method, url);
 	}
 
 	/**
-	 * Ask an endpoint for something small over a kept connection.
-	 * @param url the whole address
-	 * @return the answer; fails if there is none in two seconds
+	 * Send a short GET request over a pooled connection.
+	 * @param url the complete URL
+	 * @return the response; fails if none is received within 2 s
 	 */
 	public CompletionStage<Response> poll(String url) {
 		return sendShortRequest(this.pooledClient, "GET", url);
 	}
 
 	/**
-	 * Send something small over a fresh connection, unless it may not be sent any more
-	 * once the connection is open.
-	 * @param url the whole address
-	 * @param body the JSON
-	 * @param timeout after which the connection is closed
-	 * @param maySend is asked right before the first byte is sent
-	 * @return the answer; fails if there is none in time or nothing was sent
+	 * Send a short POST request over a new connection, unless sending is no longer
+	 * permitted once the connection is open.
+	 * @param url the complete URL
+	 * @param body the JSON body
+	 * @param timeout the time after which the connection is closed
+	 * @param maySend evaluated immediately before the first byte is sent
+	 * @return the response; fails if none is received in time or the request was not sent
 	 */
 	public CompletionStage<Response> post(String url, byte[] body, Duration timeout, BooleanSupplier maySend) {
 		return this.unpooledClient.preparePost(url)
--- a/daemon/src/main/java/org/acaciacourse/daemon/endpoint/EndpointPoller.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/endpoint/EndpointPoller.java
@@ -16,11 +16,12 @@
 import org.asynchttpclient.Response;
 
 /**
- * Asks the model engines in turn for their load and for what their prefix caches hold.
- * The number of questions a second is bounded, whatever the number of engines: with many,
- * each is asked less often, and the dispatcher takes the age of a report into account.
+ * Polls the model engines in turn for their load and for the contents of their prefix
+ * caches. The request rate is bounded independently of the number of engines: the more
+ * engines there are, the less often each is polled, and the dispatcher takes the age of a
+ * report into account.
  * <p>
- * Thread safe. The answers are handed over on the polling thread.
+ * Thread safe. Reports are delivered on the polling thread.
  */
 public final class EndpointPoller implements AutoCloseable {
 
@@ -30,8 +31,9 @@
 
 	private static final long TICK_MILLIS = 50;
 
-	// 60 questions a second at some 400 bytes each stay below the 30 KB/s that a VM may
-	// spend on control; 13 engines are still asked four times a second.
+	// 60 requests per second of about 400 bytes each stay below the 30 KB/s that a VM
+	// may use for control traffic. Up to 13 engines are still polled four times a
+	// second.
 	private static final int MAX_REQUESTS_PER_TICK = 3;
 
 	private static final long MIN_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
@@ -62,14 +64,14 @@
 		this.listener = listener;
 	}
 
-	/** Begin. */
+	/** Start polling. */
 	public void start() {
 		this.executor.scheduleWithFixedDelay(this::tick, TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
 	}
 
 	/**
-	 * Set which engines to ask.
-	 * @param bases the base address of each engine by name
+	 * Set the engines to poll.
+	 * @param bases the base addresses of the engines by endpoint name
 	 */
 	public void endpoints(Map<String, String> bases) {
 		this.executor.execute(() -> replaceTargets(bases));
@@ -144,7 +146,7 @@
 		this.executor.shutdownNow();
 	}
 
-	/** One engine, as the polling thread knows it. */
+	/** Polling state of an engine; used on the polling thread only. */
 	private static final class Target {
 
 		private final String name;
@@ -167,19 +169,19 @@
 	}
 
 	/**
-	 * Gets what the engines report, on the polling thread.
+	 * Receives the reports of the engines, on the polling thread.
 	 */
 	public interface Listener {
 
 		/**
-		 * An engine reported its load.
+		 * Called when an engine has reported its load.
 		 * @param endpoint the name of the endpoint
 		 * @param report the report
 		 */
 		void load(String endpoint, LoadReport report);
 
 		/**
-		 * An engine reported what its cache holds.
+		 * Called when an engine has reported a change of its prefix cache.
 		 * @param endpoint the name of the endpoint
 		 * @param prefixHash the hash of a prefix
 		 * @param held whether the cache holds it
--- a/daemon/src/main/java/org/acaciacourse/daemon/endpoint/EngineStarts.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/endpoint/EngineStarts.java
@@ -6,29 +6,30 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * When each engine's process was started, as it said last. An engine that crashed and
- * came back within a second answers every question like a healthy one; only the time of
- * its start tells that what it ran is lost by a crash and not by the connection.
+ * The start time of each engine's process, as last reported by the engine. An engine that
+ * crashed and restarted within a second responds to every status request like a healthy
+ * one; only its start time shows that its requests were lost in a crash rather than
+ * through the connection.
  * <p>
- * Thread safe. Bounded by the number of engines in the manifest.
+ * Thread safe. The size is bounded by the number of engines in the manifest.
  */
 public final class EngineStarts {
 
 	private final Map<String, Long> startTimes = new ConcurrentHashMap<>();
 
 	/**
-	 * Take note of what an engine said.
-	 * @param base the base address
-	 * @param startedMillis the time of its start
+	 * Record the start time that an engine reported.
+	 * @param base the base address of the engine
+	 * @param startedMillis the start time in milliseconds since the epoch
 	 */
 	public void note(String base, long startedMillis) {
 		this.startTimes.put(base, startedMillis);
 	}
 
 	/**
-	 * Return what an engine said last.
-	 * @param base the base address
-	 * @return the time of its start, if it said one
+	 * Return the start time that an engine last reported.
+	 * @param base the base address of the engine
+	 * @return the start time in milliseconds since the epoch, if one was reported
 	 */
 	public OptionalLong of(String base) {
 		Long known = this.startTimes.get(base);
@@ -36,8 +37,8 @@
 	}
 
 	/**
-	 * Forget engines that are not in the manifest any more.
-	 * @param bases the base addresses that are
+	 * Remove the engines that are no longer in the manifest.
+	 * @param bases the base addresses of the engines in the manifest
 	 */
 	void retain(Collection<String> bases) {
 		this.startTimes.keySet().retainAll(bases);
--- a/daemon/src/main/java/org/acaciacourse/daemon/endpoint/EventSplitter.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/endpoint/EventSplitter.java
@@ -4,11 +4,12 @@
 import java.util.Arrays;
 
 /**
- * Splits a stream of server-sent events into events, each of whole lines, and reads the
- * fields {@code id} and {@code data}.
+ * Splits a stream of server-sent events into single events and parses their fields
+ * {@code id} and {@code data}.
  * <p>
- * Not thread safe: belongs to one answer. An event over {@link #MAX_EVENT_BYTES} bytes is
- * refused, so that an endpoint without line ends can't fill the memory.
+ * Not thread safe: belongs to one response. An event of more than
+ * {@link #MAX_EVENT_BYTES} bytes is rejected, so that an endpoint that sends no line ends
+ * can't exhaust the memory.
  */
 public final class EventSplitter {
 
@@ -35,10 +36,11 @@
 	private int dataEnd;
 
 	/**
-	 * Split a chunk.
-	 * @param chunk the bytes as they came
-	 * @param sink gets each whole event
-	 * @return false if an event is too long or an event number is not one
+	 * Process a chunk of the stream.
+	 * @param chunk the bytes as received
+	 * @param sink receives each complete event
+	 * @return false if an event is too long, its {@code id} is not a number or the sink
+	 * rejected it
 	 */
 	public boolean feed(byte[] chunk, Sink sink) {
 		append(chunk);
@@ -127,18 +129,18 @@
 	}
 
 	/**
-	 * Gets whole events.
+	 * Receives complete events.
 	 */
 	@FunctionalInterface
 	public interface Sink {
 
 		/**
-		 * Take an event.
-		 * @param index the number in the field {@code id}, -1 if it has none
-		 * @param buffer holds the data; valid during the call only
-		 * @param start where the data start
-		 * @param end where they end
-		 * @return false to stop: the answer can't be used
+		 * Process an event.
+		 * @param index the number in the field {@code id}, -1 if there is none
+		 * @param buffer the buffer with the data; valid during the call only
+		 * @param start the offset of the first byte of the data
+		 * @param end the offset after the last byte of the data
+		 * @return false to stop because the response can't be used
 		 */
 		boolean event(long index, byte[] buffer, int start, int end);
 
--- a/daemon/src/main/java/org/acaciacourse/daemon/endpoint/LazySslEngines.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/endpoint/LazySslEngines.java
@@ -10,9 +10,9 @@
 import org.asynchttpclient.netty.ssl.DefaultSslEngineFactory;
 
 /**
- * The HTTP client's usual engines for TLS, prepared at the first connection that needs
- * one. Reading all trusted certificates takes a tenth of a second of processor time, once
- * for each client, which a process that only speaks plain HTTP would pay at each start.
+ * Initializes the default TLS engine factory of the HTTP client at the first connection
+ * that needs it. Loading the trusted certificates takes a tenth of a second of CPU time
+ * per client, which would slow down every start of a process that uses plain HTTP only.
  * <p>
  * Thread safe.
  */
--- a/daemon/src/main/java/org/acaciacourse/daemon/endpoint/ReadGate.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/endpoint/ReadGate.java
@@ -7,9 +7,10 @@
 import io.netty.channel.ChannelHandlerContext;
 
 /**
- * Stops reading from an endpoint while its caller is slow. The HTTP client asks for the
- * next read by itself after each one, so that the request is held back here; without this
- * a slow caller of a fast engine would fill the memory of the VM.
+ * Pauses reading from an endpoint while the caller reads too slowly. The HTTP client
+ * requests the next read itself after each one, so that this handler has to hold back the
+ * read request. Otherwise a slow caller of a fast engine would exhaust the memory of the
+ * VM.
  * <p>
  * Not thread safe: belongs to the event loop of its connection.
  */
@@ -47,9 +48,9 @@
 	}
 
 	/**
-	 * Pause reading from a connection; called on its event loop.
+	 * Pause reading from a connection. Must be called on its event loop.
 	 * @param channel the connection
-	 * @return whether it was not paused before
+	 * @return whether reading was not paused before
 	 */
 	static boolean pause(Channel channel) {
 		if (!(channel.pipeline().get(NAME) instanceof ReadGate gate) || gate.paused) {
@@ -60,9 +61,10 @@
 	}
 
 	/**
-	 * Go on reading from a connection.
+	 * Resume reading from a connection; may be called on any thread.
 	 * @param channel the connection
-	 * @param condition asked on its event loop; reading stays paused if it is false
+	 * @param condition evaluated on the event loop of the connection; reading is not
+	 * resumed if it is false
 	 */
 	static void resume(Channel channel, BooleanSupplier condition) {
 		channel.eventLoop().execute(() -> {
--- a/daemon/src/main/java/org/acaciacourse/daemon/endpoint/RunQuestion.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/endpoint/RunQuestion.java
@@ -11,11 +11,11 @@
 import org.asynchttpclient.Response;
 
 /**
- * Asks an engine about a request by its id over a connection of its own, when the
- * connection of the request is silent or broken: a connection says nothing of the engine
- * behind it.
+ * Queries an engine for the status of a request by its id over a separate connection.
+ * This is used when the connection of the request is silent or broken, as the state of a
+ * connection does not show the state of the engine behind it.
  * <p>
- * Thread safe: it has no state.
+ * Stateless and thread safe.
  */
 public final class RunQuestion {
 
@@ -25,20 +25,20 @@
 	}
 
 	/**
-	 * Ask.
-	 * @param client asks
+	 * Query the status of a request.
+	 * @param client sends the query
 	 * @param base the base address of the engine
 	 * @param id the id of the attempt
-	 * @return what the engine knows; never fails
+	 * @return the status; never completes exceptionally
 	 */
 	public static CompletionStage<Reply> ask(EndpointClient client, String base, String id) {
 		return client.ask("GET", base + "/v1/requests/" + id).handle(RunQuestion::parseStatus);
 	}
 
 	/**
-	 * Cancel a request at its engine. An engine that can't be asked is left alone: it
-	 * notices the closed connection by itself.
-	 * @param client asks
+	 * Cancel a request at its engine. Failures are ignored: an engine that can't be
+	 * reached detects the closed connection by itself.
+	 * @param client sends the query
 	 * @param base the base address of the engine
 	 * @param id the id of the attempt
 	 */
@@ -47,10 +47,11 @@
 	}
 
 	/**
-	 * Ask an engine when it was started.
-	 * @param client asks
+	 * Query the start time of an engine.
+	 * @param client sends the query
 	 * @param base the base address of the engine
-	 * @return the time in milliseconds since the epoch, if it says one; never fails
+	 * @return the start time in milliseconds since the epoch, if the engine reports it;
+	 * never completes exceptionally
 	 */
 	public static CompletionStage<OptionalLong> started(EndpointClient client, String base) {
 		return client.ask("GET", base + "/load").handle((response, failure) -> parseStartTime(response));
@@ -87,41 +88,41 @@
 	}
 
 	/**
-	 * What the engine knows of a request.
+	 * The status of a request at its engine.
 	 *
-	 * @param kind what it said
-	 * @param tokens how many tokens it made
+	 * @param kind the kind of status
+	 * @param tokens the number of tokens generated
 	 */
 	public record Reply(Kind kind, long tokens) {
 	}
 
 	/**
-	 * What an engine said.
+	 * The kind of status, including failures of the query.
 	 */
 	public enum Kind {
 
-		/** The engine takes no connection: its process is down. */
+		/** The engine accepts no connections: its process is down. */
 		DOWN,
 
-		/** The engine did not answer in time. */
+		/** The query failed without a response, for example by a timeout. */
 		NO_ANSWER,
 
-		/** The endpoint answers, but not this question. */
+		/** The endpoint responded, but without a valid request status. */
 		NOT_TOLD,
 
 		/** The engine does not know the request. */
 		UNKNOWN,
 
-		/** The request waits inside the engine. */
+		/** The request is queued in the engine. */
 		QUEUED,
 
-		/** The request runs. */
+		/** The request is running. */
 		RUNNING,
 
-		/** The request ran to its end. */
+		/** The request ran to completion. */
 		FINISHED,
 
-		/** The request was stopped. */
+		/** The request was cancelled. */
 		CANCELLED;
 
 		private static Kind ofState(String state) {
--- a/daemon/src/main/java/org/acaciacourse/daemon/endpoint/package-info.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/endpoint/package-info.java
@@ -1,4 +1,5 @@
 /**
- * HTTP to the endpoints: calls, cancels, questions about a request and load reports.
+ * HTTP client for the endpoints: calls, cancellation, request status queries and load
+ * reports.
  */
 package org.acaciacourse.daemon.endpoint;
--- a/daemon/src/test/java/org/acaciacourse/daemon/endpoint/EndpointCallTests.java
+++ b/daemon/src/test/java/org/acaciacourse/daemon/endpoint/EndpointCallTests.java
@@ -44,8 +44,8 @@
 	@Nested
 	class Backpressure {
 
-		// A slow caller leaves chunks waiting. Over the bound the connection is not read;
-		// once half of them are taken it is read again.
+		// A slow caller leaves chunks unpolled. Above the limit, reading from the
+		// connection pauses; below half the limit, it resumes.
 		@Test
 		void readingPausesAboveTheLimitAndResumesBelowHalf() {
 			receive(EndpointCall.MAX_PENDING_BYTES / 2);
@@ -56,9 +56,9 @@
 			assertThat(isAutoRead()).isTrue();
 		}
 
-		// The caller's side takes everything, and before the order to read on is carried
-		// out the rest of the last read comes in and closes the gate again. Taking that
-		// rest must open it: a gate closed for good looked like a silent engine.
+		// The listener polls everything, and before the scheduled resume runs, the rest
+		// of the last read arrives and exceeds the limit again. Polling that rest must
+		// resume reading: a connection that stayed paused was taken for a silent engine.
 		@Test
 		void lateResumeDoesNotLeaveReadingPaused() {
 			receive(EndpointCall.MAX_PENDING_BYTES + 1);
@@ -74,8 +74,9 @@
 	@Nested
 	class Sending {
 
-		// The request is given up while its connection is opened: it must not be sent
-		// later, as the caller may be told that it did not run.
+		// A call that is closed while its connection is being opened must not be sent
+		// later, as the response to the caller may already state that the request was
+		// not run.
 		@Test
 		void closedCallIsNeverSent() {
 			assertThat(EndpointCallTests.this.call.close()).isFalse();
@@ -106,17 +107,18 @@
 			return EndpointCallTests.this.channel.isOpen();
 		}
 
-		// The rest of an answer that is given up may still come over its connection.
+		// The rest of an abandoned response may still arrive over its connection.
 		@Test
 		void releaseDuringResponseClosesTheConnection() {
 			EndpointCallTests.this.call.release();
 			assertThat(isOpen()).isFalse();
 		}
 
-		// An answer is whole, and its connection serves another request. A second later
-		// the first call is released, in case its endpoint never ended the answer. That
-		// must not cut the answer which the connection carries by now: its caller got it
-		// in pieces of three attempts, and none if it may not be resumed.
+		// A response is complete, and its connection serves another request. A second
+		// later the first call is released, in case its endpoint never ended the
+		// response. That must not cut the response that now uses the connection: its
+		// caller got it pieced together from three attempts, or not at all if it may not
+		// be resumed.
 		@Test
 		void releaseAfterResponseLeavesThePooledConnectionOpen() {
 			EndpointCallTests.this.call.onConnectionOffer(EndpointCallTests.this.channel);
@@ -124,7 +126,8 @@
 			assertThat(isOpen()).isTrue();
 		}
 
-		// The order to release crosses the end of the answer on the connection's thread.
+		// The response ends after release() was called, but before the close that it
+		// scheduled runs on the event loop of the connection.
 		@Test
 		void connectionPooledDuringReleaseStaysOpen() {
 			EndpointCallTests.this.call.release();
@@ -132,8 +135,9 @@
 			assertThat(isOpen()).isTrue();
 		}
 
-		// A whole answer came under the id of another request. Its connection was offered
-		// before that was seen; the next answer over it would be a foreign one too.
+		// A complete response carried the id of another request, which was detected only
+		// after its connection had been returned to the pool. The next response over
+		// that connection would belong to another request too.
 		@Test
 		void untrustedConnectionIsClosedEvenIfPooled() {
 			EndpointCallTests.this.call.onConnectionOffer(EndpointCallTests.this.channel);
@@ -143,7 +147,7 @@
 
 	}
 
-	/** Ignores what arrives. */
+	/** Ignores all events. */
 	private static final class NoOpListener implements EndpointCall.Listener {
 
 		@Override
@@ -164,7 +168,7 @@
 
 	}
 
-	/** A part of a body. */
+	/** A part of a response body. */
 	private static final class Part extends HttpResponseBodyPart {
 
 		private final byte[] bytes;
--- a/daemon/src/test/java/org/acaciacourse/daemon/endpoint/LazySslEnginesTests.java
+++ b/daemon/src/test/java/org/acaciacourse/daemon/endpoint/LazySslEnginesTests.java
@@ -12,8 +12,8 @@
 
 	private final AsyncHttpClientConfig config = new DefaultAsyncHttpClientConfig.Builder().build();
 
-	// The client prepares its engines at its start; the first connection over TLS has to
-	// find them all the same, set up to check the name of its peer.
+	// init() does not initialize the default factory. The first TLS connection must
+	// still get an engine, and one that verifies the host name of its peer.
 	@Test
 	void firstConnectionGetsAnEngineThatVerifiesItsPeer() throws Exception {
 		LazySslEngines engines = new LazySslEngines();
@@ -25,7 +25,7 @@
 		engines.destroy();
 	}
 
-	// A process that only spoke plain HTTP ends.
+	// A process that used plain HTTP only shuts down.
 	@Test
 	void unusedFactoryCanBeDestroyed() {
 		new LazySslEngines().destroy();
