--- a/daemon/src/main/java/org/acaciacourse/daemon/endpoint/EndpointCall.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/endpoint/EndpointCall.java
@@ -129,7 +129,7 @@
 	@Override
 	public void onRequestSend(NettyRequest request) {
 		if (!this.stage.compareAndSet(Stage.PREPARED, Stage.SENT)) {
-			throw new IllegalStateException("closed before it was sent");
+			throw new IllegalStateException("call was closed before its request was sent");
 		}
 	}
 
--- a/daemon/src/main/java/org/acaciacourse/daemon/endpoint/EndpointClient.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/endpoint/EndpointClient.java
@@ -167,7 +167,7 @@
 				@Override
 				public void onRequestSend(NettyRequest request) {
 					if (!maySend.getAsBoolean()) {
-						throw new IllegalStateException("may not be sent any more");
+						throw new IllegalStateException("sending the request is no longer permitted");
 					}
 				}
 			})
@@ -190,7 +190,7 @@
 			this.unpooledClient.close();
 		}
 		catch (IOException ex) {
-			logger.warn("client not closed: {}", ex.toString());
+			logger.warn("cannot close the HTTP client: {}", ex.toString());
 		}
 		if (this.ownsLoops) {
 			this.loops.shutdownGracefully(0, 2, TimeUnit.SECONDS).awaitUninterruptibly();
--- a/daemon/src/main/java/org/acaciacourse/daemon/endpoint/EndpointPoller.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/endpoint/EndpointPoller.java
@@ -129,7 +129,7 @@
 			}
 		}
 		catch (IOException | NumberFormatException ex) {
-			logger.debug("report of {} cannot be read", target.name);
+			logger.debug("cannot parse the report of endpoint {}", target.name);
 		}
 	}
 
--- a/daemon/src/main/java/org/acaciacourse/daemon/endpoint/LazySslEngines.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/endpoint/LazySslEngines.java
@@ -32,7 +32,7 @@
 				created.init(config);
 			}
 			catch (SSLException ex) {
-				throw new IllegalStateException("TLS is not available", ex);
+				throw new IllegalStateException("cannot initialize TLS for connections to endpoints", ex);
 			}
 			this.delegate = Optional.of(created);
 		}
