--- a/bench/src/main/java/org/acaciacourse/bench/control/ChangeLoad.java
+++ b/bench/src/main/java/org/acaciacourse/bench/control/ChangeLoad.java
@@ -14,7 +14,7 @@
 import org.acaciacourse.core.model.Manifest;
 import org.acaciacourse.daemon.inner.SharedKey;
 import org.acaciacourse.daemon.link.ControlLink;
-import org.acaciacourse.daemon.link.LeaderCaller;
+import org.acaciacourse.daemon.link.LeaderClient;
 import org.acaciacourse.daemon.link.LinkOptions;
 import org.acaciacourse.daemon.link.ThriftControlLink;
 import org.acaciacourse.protocol.generated.ApplyReply;
@@ -59,7 +59,7 @@
 		Histogram everywhere = new Histogram(3);
 		long until = System.nanoTime() + length.toNanos();
 		long number = firstNumber;
-		try (LeaderCaller caller = new LeaderCaller(this.controls)) {
+		try (LeaderClient caller = new LeaderClient(this.controls)) {
 			for (; System.nanoTime() < until; number++) {
 				long sent = System.nanoTime();
 				apply(caller, number);
@@ -78,7 +78,7 @@
 				everywhere.getValueAtPercentile(99) / 1e6, everywhere.getMaxValue() / 1e6);
 	}
 
-	private void apply(LeaderCaller caller, long number) throws InterruptedException {
+	private void apply(LeaderClient caller, long number) throws InterruptedException {
 		ApplyRequest request = new ApplyRequest(this.operatorKey, "bench", manifest(number, this.customers),
 				new TraceContext(""));
 		ApplyReply reply = caller.call((c) -> c.apply(request), ApplyReply::getResult, LIMIT).orElseThrow();
@@ -129,7 +129,7 @@
 		}
 
 		@Override
-		public void manifest(Manifest manifest) {
+		public void manifestChanged(Manifest manifest) {
 			got(this.entry, manifest.number());
 		}
 
@@ -138,15 +138,15 @@
 		}
 
 		@Override
-		public void endpointStatus(String endpoint, EndpointStatus status) {
+		public void endpointStatusChanged(String endpoint, EndpointStatus status) {
 		}
 
 		@Override
-		public void crash(long contentHash, int crashes) {
+		public void crashReported(long contentHash, int crashes) {
 		}
 
 		@Override
-		public void entryCount(int count) {
+		public void entryCountChanged(int count) {
 		}
 
 	}
--- a/bench/src/main/java/org/acaciacourse/bench/control/CommitLoad.java
+++ b/bench/src/main/java/org/acaciacourse/bench/control/CommitLoad.java
@@ -10,7 +10,7 @@
 import org.HdrHistogram.ConcurrentHistogram;
 import org.acaciacourse.core.code.ResultCode;
 import org.acaciacourse.daemon.inner.SharedKey;
-import org.acaciacourse.daemon.link.LeaderCaller;
+import org.acaciacourse.daemon.link.LeaderClient;
 import org.acaciacourse.protocol.generated.ReportCrashCommand;
 import org.acaciacourse.protocol.generated.Result;
 
@@ -69,7 +69,7 @@
 	}
 
 	private void call(int number, long until) {
-		try (LeaderCaller caller = new LeaderCaller(this.controls)) {
+		try (LeaderClient caller = new LeaderClient(this.controls)) {
 			for (int i = 0; System.nanoTime() < until; i++) {
 				ReportCrashCommand command = new ReportCrashCommand(number % 64, i % 3);
 				long sent = System.nanoTime();
--- a/bench/src/main/java/org/acaciacourse/bench/control/StateSlopes.java
+++ b/bench/src/main/java/org/acaciacourse/bench/control/StateSlopes.java
@@ -61,8 +61,8 @@
 	private static int put(ControlState state, long number, int customers) {
 		Map<String, Map<String, String>> sections = ChangeLoad.manifest(number, customers);
 		ManifestDocument document = ManifestCodec.decode(sections);
-		Command command = new Command.PutManifest(1, number, document.digest(), state.digest(),
-				state.document().deltaTo(document), "bench");
+		Command command = new Command.PutManifest(1, number, document.digest(), state.manifestDigest(),
+				state.manifestDocument().deltaTo(document), "bench");
 		state.apply(number, command);
 		return CommandCodec.encode(command).length;
 	}
--- a/bench/src/main/java/org/acaciacourse/bench/decision/DecisionBenchmark.java
+++ b/bench/src/main/java/org/acaciacourse/bench/decision/DecisionBenchmark.java
@@ -22,8 +22,8 @@
 import org.acaciacourse.core.model.LatencyTarget;
 import org.acaciacourse.core.model.Manifest;
 import org.acaciacourse.core.model.Policy;
-import org.acaciacourse.core.model.PolicyInForce;
 import org.acaciacourse.core.model.PolicyKind;
+import org.acaciacourse.core.model.PolicySelection;
 import org.acaciacourse.core.model.RequestClass;
 import org.acaciacourse.core.model.Tier;
 import org.openjdk.jmh.annotations.Benchmark;
@@ -92,7 +92,7 @@
 		this.now += STEP_NANOS;
 		int endpoint = (int) (this.nextId % this.endpoints);
 		this.dispatcher.loadReport(name(endpoint), new LoadReport(this.nextId, SLOTS / 2, 0, STEP_NANOS), this.now);
-		this.dispatcher.ended(this.running.removeFirst(), AttemptOutcome.COMPLETE, this.now);
+		this.dispatcher.attemptEnded(this.running.removeFirst(), AttemptOutcome.COMPLETE, this.now);
 		arrive();
 		return this.lastAttempt;
 	}
@@ -104,13 +104,13 @@
 	@Benchmark
 	public long token() {
 		this.now += STEP_NANOS;
-		this.dispatcher.tokens(this.running.peekFirst(), 1, this.now);
+		this.dispatcher.tokensReceived(this.running.peekFirst(), 1, this.now);
 		return this.lastAttempt;
 	}
 
 	private void arrive() {
 		long id = ++this.nextId;
-		this.dispatcher.arrive(new RequestInfo(id, "c" + (id & 7), "broker", "llm", id, id & 63, 500, 0, false,
+		this.dispatcher.requestArrived(new RequestInfo(id, "c" + (id & 7), "broker", "llm", id, id & 63, 500, 0, false,
 				this.now + 60_000_000_000L), this.now);
 	}
 
@@ -133,7 +133,7 @@
 		}
 		EndpointSet set = new EndpointSet("llm", EndpointSet.Kind.MODEL, Set.of("m"), true, true, true);
 		Policy policy = new Policy("tiered", PolicyKind.TIERED, Map.of());
-		return new Manifest(1, "", new PolicyInForce("tiered", Optional.empty(), 0), Map.of("tiered", policy),
+		return new Manifest(1, "", new PolicySelection("tiered", Optional.empty(), 0), Map.of("tiered", policy),
 				Map.of("broker", broker), Map.of("llm", set), all, customers, Map.of(), Set.of());
 	}
 
--- a/bench/src/main/java/org/acaciacourse/bench/decision/PlacementBenchmark.java
+++ b/bench/src/main/java/org/acaciacourse/bench/decision/PlacementBenchmark.java
@@ -10,7 +10,7 @@
 import org.acaciacourse.core.balance.Placement;
 import org.acaciacourse.core.balance.PoolBalancer;
 import org.acaciacourse.core.balance.PromptShape;
-import org.acaciacourse.core.balance.Turn;
+import org.acaciacourse.core.balance.QueuePosition;
 import org.acaciacourse.core.route.FleetEndpoint;
 import org.openjdk.jmh.annotations.Benchmark;
 import org.openjdk.jmh.annotations.BenchmarkMode;
@@ -70,9 +70,9 @@
 		for (int i = 0; i < this.engines * SLOTS / 4; i++) {
 			Placement placement = this.asked.get(i % PARTS);
 			this.balancer.choose(placement, this.now)
-				.ifPresent(
-						(endpoint) -> this.balancer.begin(endpoint.instance(), placement, Turn.AFTER_OTHERS, this.now)
-							.streamBegan(1));
+				.ifPresent((endpoint) -> this.balancer
+					.begin(endpoint.instance(), placement, QueuePosition.BEHIND_OTHERS, this.now)
+					.streamBegan(1));
 		}
 	}
 
--- a/bench/src/main/java/org/acaciacourse/bench/experiment/Entry.java
+++ b/bench/src/main/java/org/acaciacourse/bench/experiment/Entry.java
@@ -45,19 +45,19 @@
 
 	void entryCount(int count) {
 		if (this.dispatcher instanceof PolicyDispatcher policy) {
-			policy.entryShare(this.index % count, count, this.world.now());
+			policy.entryPosition(this.index % count, count, this.world.now());
 		}
 	}
 
 	void arrive(Job job) {
 		this.world.invariants.arrived(this, job);
-		this.dispatcher.arrive(job.info, this.world.now());
+		this.dispatcher.requestArrived(job.info, this.world.now());
 	}
 
 	void ended(FakeEngine.Task task, AttemptOutcome outcome) {
 		this.tasks.remove(task.attemptId);
 		this.world.invariants.ended(this, task, outcome);
-		this.dispatcher.ended(task.attemptId, outcome, this.world.now());
+		this.dispatcher.attemptEnded(task.attemptId, outcome, this.world.now());
 	}
 
 	@Override
@@ -65,7 +65,7 @@
 		Job job = this.world.jobs.get(attempt.requestId());
 		FakeEngine engine = this.world.engine(attempt.endpoint());
 		FakeEngine.Task task = new FakeEngine.Task(job, attempt.id(), this.index, attempt.enginePriority(), engine,
-				attempt.resumeAt());
+				attempt.resumeFrom());
 		this.world.invariants.dispatched(this, attempt, job);
 		this.tasks.put(attempt.id(), task);
 		this.world.timeline.after(this.world.wayNanos(job.entry, engine), () -> submit(task));
--- a/bench/src/main/java/org/acaciacourse/bench/experiment/Oracle.java
+++ b/bench/src/main/java/org/acaciacourse/bench/experiment/Oracle.java
@@ -89,7 +89,7 @@
 	}
 
 	@Override
-	public void arrive(RequestInfo request, long now) {
+	public void requestArrived(RequestInfo request, long now) {
 		Job job = job(request.id());
 		if (job.poison) {
 			this.actions.finish(request.id(), ResultCode.CRASHING_CONTENT, Optional.empty());
@@ -111,7 +111,7 @@
 	}
 
 	@Override
-	public void tokens(long attemptId, int count, long now) {
+	public void tokensReceived(long attemptId, int count, long now) {
 		Run run = this.runs.get(attemptId);
 		if (run != null) {
 			boolean low = run.job.requestClass.tier() == Tier.LOW;
@@ -121,7 +121,7 @@
 	}
 
 	@Override
-	public void ended(long attemptId, AttemptOutcome outcome, long now) {
+	public void attemptEnded(long attemptId, AttemptOutcome outcome, long now) {
 		Run run = this.runs.get(attemptId);
 		if (run != null) {
 			forget(run);
@@ -140,7 +140,7 @@
 	}
 
 	@Override
-	public void suspect(long contentHash, int crashes, long now) {
+	public void suspectReported(long contentHash, int crashes, long now) {
 		// It knows which content crashes engines.
 	}
 
--- a/bench/src/main/java/org/acaciacourse/bench/experiment/Site.java
+++ b/bench/src/main/java/org/acaciacourse/bench/experiment/Site.java
@@ -15,8 +15,8 @@
 import org.acaciacourse.core.model.LatencyTarget;
 import org.acaciacourse.core.model.Manifest;
 import org.acaciacourse.core.model.Policy;
-import org.acaciacourse.core.model.PolicyInForce;
 import org.acaciacourse.core.model.PolicyKind;
+import org.acaciacourse.core.model.PolicySelection;
 import org.acaciacourse.core.model.RequestClass;
 import org.acaciacourse.core.model.Tier;
 
@@ -116,8 +116,9 @@
 		}
 		EndpointSet set = new EndpointSet(ENDPOINT_SET, EndpointSet.Kind.MODEL, Set.of("model"), true, true, true);
 		Policy policy = new Policy(kind.label(), kind, parameters);
-		return new Manifest(1, "", new PolicyInForce(policy.name(), Optional.empty(), 0), Map.of(policy.name(), policy),
-				byName, Map.of(ENDPOINT_SET, set), endpoints, customers, Map.of(), Set.of());
+		return new Manifest(1, "", new PolicySelection(policy.name(), Optional.empty(), 0),
+				Map.of(policy.name(), policy), byName, Map.of(ENDPOINT_SET, set), endpoints, customers, Map.of(),
+				Set.of());
 	}
 
 }
--- a/bench/src/main/java/org/acaciacourse/bench/experiment/World.java
+++ b/bench/src/main/java/org/acaciacourse/bench/experiment/World.java
@@ -134,7 +134,7 @@
 	private double openAt(int owner) {
 		int engines = (this.engines.size() - owner + this.entries.size() - 1) / this.entries.size();
 		PolicyDispatcher dispatcher = (PolicyDispatcher) this.entries.get(owner).dispatcher;
-		return dispatcher.openRequests() / (double) engines;
+		return dispatcher.openRequestCount() / (double) engines;
 	}
 
 	Entry entryOf(Job job) {
@@ -162,7 +162,7 @@
 	void publishSuspect(Entry from, long content, int crashes) {
 		this.timeline.after(SUSPECT_LAG_NANOS, () -> each((entry) -> {
 			if (entry != from) {
-				entry.dispatcher.suspect(content, crashes, now());
+				entry.dispatcher.suspectReported(content, crashes, now());
 			}
 		}));
 	}
@@ -231,7 +231,7 @@
 		minute[1]++;
 		Entry entry = this.entries.get(task.entry);
 		if (entry.alive) {
-			entry.dispatcher.tokens(task.attemptId, 1, now());
+			entry.dispatcher.tokensReceived(task.attemptId, 1, now());
 		}
 	}
 
--- a/core/src/main/java/org/acaciacourse/core/attempt/RequestProgress.java
+++ b/core/src/main/java/org/acaciacourse/core/attempt/RequestProgress.java
@@ -47,7 +47,7 @@
 	 * Record the start of an attempt.
 	 * @param instance the instance of the endpoint
 	 */
-	public void begin(String instance) {
+	public void attemptStarted(String instance) {
 		this.triedInstances.add(instance);
 	}
 
@@ -56,7 +56,7 @@
 	 * attempt may run, unless its end shows otherwise. Must be called before the first
 	 * byte is written.
 	 */
-	public void sent() {
+	public void beforeSend() {
 		this.sentAttempts++;
 		this.attemptsThatMayHaveRun++;
 		this.attemptInProgress = true;
@@ -65,7 +65,7 @@
 	/**
 	 * Record that a part of the response was forwarded to the client.
 	 */
-	public void passedOn() {
+	public void responseForwarded() {
 		this.responseForwarded = true;
 		this.earlierAttemptMayHaveRun = true;
 	}
@@ -74,7 +74,7 @@
 	 * Record the end of an attempt.
 	 * @param end how the attempt ended
 	 */
-	public void ended(AttemptEnd end) {
+	public void attemptEnded(AttemptEnd end) {
 		this.lastEnd = end;
 		if (this.attemptInProgress && !end.mayHaveRun()) {
 			this.attemptsThatMayHaveRun--;
@@ -87,7 +87,7 @@
 	 * Return whether the request may be retried after the last attempt.
 	 * @return whether both the route and the earlier attempts permit a retry
 	 */
-	public boolean mayTryAgain() {
+	public boolean mayRetry() {
 		boolean attemptsLeft = this.attemptsThatMayHaveRun < this.route.maxAttempts();
 		boolean safeToRepeat = this.route.isIdempotent() || !this.earlierAttemptMayHaveRun;
 		boolean canResume = !this.responseForwarded || this.route.resumable();
@@ -99,7 +99,7 @@
 	 * endpoint. Such an attempt counts against the retry budget.
 	 * @return whether an earlier attempt was sent
 	 */
-	public boolean isRepeat() {
+	public boolean isRetry() {
 		return this.sentAttempts > 0;
 	}
 
@@ -107,7 +107,7 @@
 	 * Return the instances of the endpoints that were tried.
 	 * @return the instances
 	 */
-	public Set<String> tried() {
+	public Set<String> triedInstances() {
 		return Set.copyOf(this.triedInstances);
 	}
 
--- a/core/src/main/java/org/acaciacourse/core/balance/EndpointLoad.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/EndpointLoad.java
@@ -231,7 +231,7 @@
 	// Own requests, plus those of others from the digests of the peers or, without any,
 	// from a recent report of the endpoint.
 	int running(long now) {
-		if (this.peers.isTold()) {
+		if (this.peers.hasReports()) {
 			return this.inFlight + this.peers.inFlight(this.id);
 		}
 		boolean fresh = now - this.reportedAt < REPORT_VALIDITY_NANOS;
@@ -240,7 +240,7 @@
 
 	int waiting(long now) {
 		boolean fresh = now - this.reportedAt < REPORT_VALIDITY_NANOS;
-		return (fresh && !this.peers.isTold()) ? this.reportedWaiting : 0;
+		return (fresh && !this.peers.hasReports()) ? this.reportedWaiting : 0;
 	}
 
 	// The failure rate decays, so that a recovered endpoint gets its share again.
--- a/core/src/main/java/org/acaciacourse/core/balance/LoadDigest.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/LoadDigest.java
@@ -17,10 +17,11 @@
  * @param vms the number of VMs whose load is included
  * @param loads the load at each endpoint that has any
  * @param uses the shared parts of prompts that were recently sent to endpoints
- * @param heard the sequence numbers of the included reports, by the ids of their senders
+ * @param acknowledged the sequence numbers of the included reports, by the ids of their
+ * senders
  */
 public record LoadDigest(Kind kind, long sequence, int part, int parts, int vms, List<PeerLoads.Load> loads,
-		List<PartUse> uses, Map<Integer, Long> heard) {
+		List<PartUse> uses, Map<Integer, Long> acknowledged) {
 
 	/** Endpoints in a part, which together with the rest fit into a packet. */
 	private static final int MAX_LOADS_PER_PART = 60;
@@ -41,7 +42,7 @@
 		}
 		loads = List.copyOf(loads);
 		uses = List.copyOf(uses);
-		heard = Map.copyOf(heard);
+		acknowledged = Map.copyOf(acknowledged);
 	}
 
 	/**
@@ -73,7 +74,8 @@
 		List<LoadDigest> all = new ArrayList<>(count);
 		for (int i = 0; i < count; i++) {
 			all.add(new LoadDigest(this.kind, this.sequence, i, count, this.vms,
-					chunk(this.loads, i, MAX_LOADS_PER_PART), chunk(this.uses, i, MAX_USES_PER_PART), this.heard));
+					chunk(this.loads, i, MAX_LOADS_PER_PART), chunk(this.uses, i, MAX_USES_PER_PART),
+					this.acknowledged));
 		}
 		return all;
 	}
--- a/core/src/main/java/org/acaciacourse/core/balance/LoadExchange.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/LoadExchange.java
@@ -112,7 +112,7 @@
 	 * relays.
 	 * @param max the number of peers
 	 */
-	public void mostDirect(int max) {
+	public void maxDirectPeers(int max) {
 		this.maxDirectPeers = max;
 	}
 
@@ -133,7 +133,7 @@
 	 * Return the time until the next call of {@link #tick}.
 	 * @return the time in milliseconds
 	 */
-	public long pauseMillis() {
+	public long intervalMillis() {
 		return (isRelayed()) ? RELAYED_INTERVAL_MILLIS
 				: Math.max(MIN_INTERVAL_MILLIS, 1_000L * this.peers.size() / MAX_RECEIVED_PER_SECOND);
 	}
@@ -173,7 +173,7 @@
 	}
 
 	private void expireSilent(long now) {
-		this.loads.forgetSilent(now);
+		this.loads.expireSilent(now);
 		this.groupReports.values().removeIf((report) -> now - report.at() > PeerLoads.EXPIRY_NANOS);
 	}
 
@@ -245,7 +245,7 @@
 	 * @return whether it was used; one that is outdated, a duplicate or not for this VM
 	 * is not
 	 */
-	public boolean take(String sender, LoadDigest digest, long now) {
+	public boolean receive(String sender, LoadDigest digest, long now) {
 		return switch (digest.kind()) {
 			case SUMMARY -> receiveSummary(sender, digest, now);
 			case REPORT -> receiveReport(sender, digest, now);
@@ -273,7 +273,7 @@
 		if (!this.relaySelector.viewReceived(sender, now)) {
 			return false;
 		}
-		Long acknowledged = digest.heard().get(idOf(this.self.address()));
+		Long acknowledged = digest.acknowledged().get(idOf(this.self.address()));
 		List<PeerLoads.Load> own = (acknowledged != null) ? this.sentReports.getOrDefault(acknowledged, List.of())
 				: List.of();
 		return this.loads.receiveView(sender, digest, own, now);
--- a/core/src/main/java/org/acaciacourse/core/balance/PeerLoads.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/PeerLoads.java
@@ -148,12 +148,12 @@
 	 * Drop the loads of VMs that are silent.
 	 * @param now the time
 	 */
-	public void forgetSilent(long now) {
-		forgetSilent(this.digests.values(), this.sums, now);
-		forgetSilent(this.view.values(), this.viewSums, now);
+	public void expireSilent(long now) {
+		expireSilent(this.digests.values(), this.sums, now);
+		expireSilent(this.view.values(), this.viewSums, now);
 	}
 
-	private static void forgetSilent(Collection<Digest> digests, LoadSums sums, long now) {
+	private static void expireSilent(Collection<Digest> digests, LoadSums sums, long now) {
 		Iterator<Digest> all = digests.iterator();
 		while (all.hasNext()) {
 			Digest digest = all.next();
@@ -168,7 +168,7 @@
 	 * Return whether the load of any other VM is known.
 	 * @return whether there is a digest or a view
 	 */
-	public boolean isTold() {
+	public boolean hasReports() {
 		return !this.digests.isEmpty() || !this.view.isEmpty();
 	}
 
--- a/core/src/main/java/org/acaciacourse/core/balance/PlacedRequest.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/PlacedRequest.java
@@ -18,7 +18,7 @@
 
 	private final boolean brief;
 
-	private final Turn queuePosition;
+	private final QueuePosition queuePosition;
 
 	private final long work;
 
@@ -30,7 +30,7 @@
 
 	private boolean ended;
 
-	PlacedRequest(EndpointLoad load, PrefillRate prefillRate, Placement request, Turn queuePosition) {
+	PlacedRequest(EndpointLoad load, PrefillRate prefillRate, Placement request, QueuePosition queuePosition) {
 		this.load = load;
 		this.prefillRate = prefillRate;
 		this.brief = request.brief();
@@ -61,7 +61,7 @@
 	 * Record that data arrived from the endpoint.
 	 * @param now the time
 	 */
-	public void heard(long now) {
+	public void recordActivity(long now) {
 		this.load.recordActivity(now);
 	}
 
@@ -69,7 +69,7 @@
 	 * Return when data last arrived from the endpoint, on any connection.
 	 * @return the time, far in the past if there was none
 	 */
-	public long heardAt() {
+	public long lastActivityAt() {
 		return this.load.lastActivityAt();
 	}
 
@@ -156,8 +156,8 @@
 	 * @param now the time
 	 * @return the estimate
 	 */
-	public Belief belief(long now) {
-		return new Belief(this.load.running(now), this.load.waitingWork(), this.load.failureRate(now));
+	public Estimate estimate(long now) {
+		return new Estimate(this.load.running(now), this.load.waitingWork(), this.load.failureRate(now));
 	}
 
 	/**
@@ -167,7 +167,7 @@
 	 * @param waitingWork the prefill work of those whose prompt is not prefilled yet
 	 * @param failureRate the share of answers that fail, weighted towards the latest ones
 	 */
-	public record Belief(int running, long waitingWork, double failureRate) {
+	public record Estimate(int running, long waitingWork, double failureRate) {
 	}
 
 }
--- a/core/src/main/java/org/acaciacourse/core/balance/PoolBalancer.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/PoolBalancer.java
@@ -98,7 +98,7 @@
 	 * Return the load of this VM.
 	 * @return the load at each endpoint that has any
 	 */
-	public List<PeerLoads.Load> own() {
+	public List<PeerLoads.Load> localLoads() {
 		return this.loads.values().stream().filter((load) -> load.inFlight() > 0).map(EndpointLoad::localLoad).toList();
 	}
 
@@ -106,7 +106,7 @@
 	 * Set the cache capacity of the pool's engines.
 	 * @param capacity the tokens that each engine can hold
 	 */
-	public void engineTokens(long capacity) {
+	public void engineCacheTokens(long capacity) {
 		this.engineCacheTokens = capacity;
 		this.loads.values().forEach((load) -> load.prefixCache().engineCacheTokens(capacity));
 	}
@@ -155,7 +155,7 @@
 	 * connection.
 	 * @param max the maximum number of requests
 	 */
-	public void connectionsEach(int max) {
+	public void maxConnectionsPerEndpoint(int max) {
 		this.maxConnectionsPerEndpoint = Math.max(1, max);
 	}
 
@@ -281,7 +281,7 @@
 	 * @param now the time
 	 * @return the request there
 	 */
-	public PlacedRequest begin(String instance, Placement request, Turn queuePosition, long now) {
+	public PlacedRequest begin(String instance, Placement request, QueuePosition queuePosition, long now) {
 		samplerFor(request).requestSent(now);
 		EndpointLoad load = find(instance).orElseThrow();
 		PlacedRequest placed = new PlacedRequest(load, this.prefillRate, request, queuePosition);
@@ -302,7 +302,7 @@
 	 * Record a use of a prompt part that another entry VM reported.
 	 * @param use the use
 	 */
-	public void told(PartUse use) {
+	public void recordPeerUse(PartUse use) {
 		EndpointLoad load = this.byId.get(use.endpoint());
 		if (load != null) {
 			load.prefixCache().recordUse(use.part());
@@ -314,7 +314,7 @@
 	 * entry VMs.
 	 * @return the uses since the last call
 	 */
-	public List<PartUse> takeUntold() {
+	public List<PartUse> drainUnreportedUses() {
 		List<PartUse> uses = List.copyOf(this.unreportedUses);
 		this.unreportedUses.clear();
 		return uses;
--- a/core/src/main/java/org/acaciacourse/core/balance/Turn.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/QueuePosition.java
@@ -4,13 +4,13 @@
  * The position of a request in the queue of an engine, relative to the other requests
  * that wait there.
  */
-public enum Turn {
+public enum QueuePosition {
 
 	/** Less urgent requests may wait there, which the request overtakes. */
-	BEFORE_OTHERS(true, false),
+	OVERTAKES_OTHERS(true, false),
 
 	/** Nothing less urgent waits there except deferred requests. */
-	AFTER_OTHERS(true, true),
+	BEHIND_OTHERS(true, true),
 
 	/** The request will be late in any case, and all others overtake it. */
 	DEFERRED(false, false);
@@ -19,7 +19,7 @@
 
 	private final boolean indicatesPrefillRate;
 
-	Turn(boolean delaysOthers, boolean indicatesPrefillRate) {
+	QueuePosition(boolean delaysOthers, boolean indicatesPrefillRate) {
 		this.delaysOthers = delaysOthers;
 		this.indicatesPrefillRate = indicatesPrefillRate;
 	}
--- a/core/src/main/java/org/acaciacourse/core/balance/SharerCount.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/SharerCount.java
@@ -43,7 +43,7 @@
 	 * @param count the number of entry VMs that control knows of
 	 * @param now the time
 	 */
-	public void told(int count, long now) {
+	public void update(int count, long now) {
 		if (this.counts.isEmpty()) {
 			this.firstReceivedAt = now;
 		}
--- a/core/src/main/java/org/acaciacourse/core/code/LineBudget.java
+++ b/core/src/main/java/org/acaciacourse/core/code/LogRateLimiter.java
@@ -9,7 +9,7 @@
  * <p>
  * Not thread safe: confined to one event loop.
  */
-public final class LineBudget {
+public final class LogRateLimiter {
 
 	private static final long SECOND_NANOS = 1_000_000_000L;
 
@@ -26,7 +26,7 @@
 	 * @param maxPerSecond the maximum number of lines per second
 	 * @param now the time in nanoseconds
 	 */
-	public LineBudget(int maxPerSecond, long now) {
+	public LogRateLimiter(int maxPerSecond, long now) {
 		this.maxPerSecond = maxPerSecond;
 		this.windowStart = now;
 	}
@@ -37,7 +37,7 @@
 	 * @return the number of lines suppressed since the last one; empty if this one is
 	 * suppressed too
 	 */
-	public OptionalLong next(long now) {
+	public OptionalLong tryAcquire(long now) {
 		if (now - this.windowStart >= SECOND_NANOS) {
 			this.windowStart = now;
 			this.written = 0;
--- a/core/src/main/java/org/acaciacourse/core/code/RefusalMerger.java
+++ b/core/src/main/java/org/acaciacourse/core/code/RefusalLogAggregator.java
@@ -14,7 +14,7 @@
  * <p>
  * Not thread safe: confined to one event loop.
  */
-public final class RefusalMerger {
+public final class RefusalLogAggregator {
 
 	private static final long SECOND_NANOS = 1_000_000_000L;
 
@@ -29,7 +29,7 @@
 	 * @param maxPerSecond the maximum number of refusals of a cause that are logged
 	 * individually per second
 	 */
-	public RefusalMerger(int maxPerSecond) {
+	public RefusalLogAggregator(int maxPerSecond) {
 		this.maxPerSecond = maxPerSecond;
 	}
 
@@ -40,7 +40,7 @@
 	 * @param now the time in nanoseconds
 	 * @return whether it is to be logged individually
 	 */
-	public boolean tell(ResultCode code, String request, long now) {
+	public boolean shouldLog(ResultCode code, String request, long now) {
 		SecondCount count = this.counts.computeIfAbsent(code, (c) -> new SecondCount(now));
 		if (count.logged < this.maxPerSecond) {
 			count.logged++;
@@ -58,8 +58,8 @@
 	 * @param now the time in nanoseconds
 	 * @return the summaries to be logged, one for each cause
 	 */
-	public List<Merged> due(long now) {
-		List<Merged> due = new ArrayList<>();
+	public List<Summary> drainSummaries(long now) {
+		List<Summary> due = new ArrayList<>();
 		this.counts.entrySet().removeIf((entry) -> {
 			SecondCount count = entry.getValue();
 			if (now - count.start < SECOND_NANOS) {
@@ -67,7 +67,7 @@
 			}
 			Optional.of(count)
 				.filter((c) -> c.merged > 0)
-				.ifPresent((c) -> due.add(new Merged(entry.getKey(), c.merged, c.requests)));
+				.ifPresent((c) -> due.add(new Summary(entry.getKey(), c.merged, c.requests)));
 			return true;
 		});
 		return due;
@@ -78,12 +78,12 @@
 	 *
 	 * @param code the cause
 	 * @param count the number of refusals
-	 * @param requests the IDs of the first requests
+	 * @param requestIds the IDs of the first requests
 	 */
-	public record Merged(ResultCode code, int count, List<String> requests) {
+	public record Summary(ResultCode code, int count, List<String> requestIds) {
 
-		public Merged {
-			requests = List.copyOf(requests);
+		public Summary {
+			requestIds = List.copyOf(requestIds);
 		}
 
 	}
--- a/core/src/main/java/org/acaciacourse/core/code/RunState.java
+++ b/core/src/main/java/org/acaciacourse/core/code/RunState.java
@@ -37,7 +37,7 @@
 	 * @param other the state of the other attempt
 	 * @return the combined state
 	 */
-	public RunState and(RunState other) {
+	public RunState combine(RunState other) {
 		return (ordinal() >= other.ordinal()) ? this : other;
 	}
 
--- a/core/src/main/java/org/acaciacourse/core/consensus/Leadership.java
+++ b/core/src/main/java/org/acaciacourse/core/consensus/Leadership.java
@@ -84,7 +84,7 @@
 
 	void read(long readId, long now) {
 		if (!this.reads.offer(readId)) {
-			this.actions.failed(readId);
+			this.actions.operationFailed(readId);
 			return;
 		}
 		serveReads(now);
@@ -160,7 +160,7 @@
 
 	void end() {
 		this.reads.failAll(this.actions);
-		this.proposals.values().forEach(this.actions::failed);
+		this.proposals.values().forEach(this.actions::operationFailed);
 		this.proposals.clear();
 	}
 
--- a/core/src/main/java/org/acaciacourse/core/consensus/MembershipManager.java
+++ b/core/src/main/java/org/acaciacourse/core/consensus/MembershipManager.java
@@ -60,7 +60,7 @@
 	 * @return whether the request is recorded; it is rejected if too many requests are
 	 * pending
 	 */
-	public boolean join(Member member) {
+	public boolean addJoinRequest(Member member) {
 		if (this.joinRequests.size() >= MAX_MEMBERS && !this.joinRequests.containsKey(member.vm())) {
 			return false;
 		}
@@ -78,7 +78,7 @@
 	}
 
 	/**
-	 * Record which voters are in contact. Called before {@link #next}.
+	 * Record which voters are in contact. Called before {@link #nextMembership}.
 	 * @param current the current membership
 	 * @param inContact whether a member has replied recently
 	 * @param now the time in nanoseconds
@@ -115,7 +115,7 @@
 	 * still has its disk, even if another process uses the name of its VM
 	 * @return the next membership, or empty if no change is due
 	 */
-	public Optional<Membership> next(Membership current, boolean committed, long commitIndex,
+	public Optional<Membership> nextMembership(Membership current, boolean committed, long commitIndex,
 			ToLongFunction<ReplicaId> matchIndex, Predicate<ReplicaId> inContact) {
 		if (!committed) {
 			return Optional.empty();
@@ -200,7 +200,7 @@
 	 * @param id the replica
 	 * @return whether it is listed and this class has no further step for it
 	 */
-	public static boolean isSettled(Membership current, ReplicaId id) {
+	public static boolean hasFinalRole(Membership current, ReplicaId id) {
 		Optional<Member> member = current.member(id);
 		return member.isPresent() && (member.get().voter()
 				|| (current.voters().size() >= MAX_VOTERS && previousVoter(current, member.get()).isEmpty()));
--- a/core/src/main/java/org/acaciacourse/core/consensus/PendingReads.java
+++ b/core/src/main/java/org/acaciacourse/core/consensus/PendingReads.java
@@ -54,8 +54,8 @@
 	}
 
 	void failAll(ReplicaActions actions) {
-		this.awaitingRound.forEach(actions::failed);
-		this.waiting.forEach(actions::failed);
+		this.awaitingRound.forEach(actions::operationFailed);
+		this.waiting.forEach(actions::operationFailed);
 		this.awaitingRound.clear();
 		this.waiting.clear();
 	}
--- a/core/src/main/java/org/acaciacourse/core/consensus/Replica.java
+++ b/core/src/main/java/org/acaciacourse/core/consensus/Replica.java
@@ -103,7 +103,7 @@
 	}
 
 	@Override
-	public void durable(long index, long term, long now) {
+	public void entriesPersisted(long index, long term, long now) {
 		this.log.markDurable(index, term);
 		this.leadership.ifPresent((leading) -> advanceCommitIndex(leading, now));
 		reportStatusChange();
@@ -121,7 +121,8 @@
 
 	@Override
 	public void read(long readId, long now) {
-		this.leadership.ifPresentOrElse((leading) -> leading.read(readId, now), () -> this.actions.failed(readId));
+		this.leadership.ifPresentOrElse((leading) -> leading.read(readId, now),
+				() -> this.actions.operationFailed(readId));
 	}
 
 	@Override
@@ -130,7 +131,7 @@
 	}
 
 	@Override
-	public void compacted(Snapshot snapshot) {
+	public void snapshotPersisted(Snapshot snapshot) {
 		if (snapshot.index() > this.commitIndex) {
 			throw new IllegalArgumentException(
 					"snapshot at index " + snapshot.index() + " is beyond the commit index " + this.commitIndex);
--- a/core/src/main/java/org/acaciacourse/core/consensus/ReplicaActions.java
+++ b/core/src/main/java/org/acaciacourse/core/consensus/ReplicaActions.java
@@ -61,7 +61,7 @@
 	 * proposal is unknown.
 	 * @param id the identifier of the read or proposal
 	 */
-	void failed(long id);
+	void operationFailed(long id);
 
 	/**
 	 * Report that the role, the term or the known leader has changed.
--- a/core/src/main/java/org/acaciacourse/core/consensus/ReplicatedLog.java
+++ b/core/src/main/java/org/acaciacourse/core/consensus/ReplicatedLog.java
@@ -33,12 +33,13 @@
 	 * @param term the term of that entry
 	 * @param now the time
 	 */
-	void durable(long index, long term, long now);
+	void entriesPersisted(long index, long term, long now);
 
 	/**
 	 * Propose a command. {@link ReplicaActions#apply} of an entry with the returned index
-	 * and this replica's term means that it is committed. {@link ReplicaActions#failed}
-	 * means that it is lost or that its outcome is unknown.
+	 * and this replica's term means that it is committed.
+	 * {@link ReplicaActions#operationFailed} means that it is lost or that its outcome is
+	 * unknown.
 	 * @param proposalId an identifier chosen by the caller
 	 * @param command the encoded command
 	 * @param now the time
@@ -57,7 +58,7 @@
 
 	/**
 	 * Request a linearizable read. {@link ReplicaActions#readReady} or
-	 * {@link ReplicaActions#failed} follows.
+	 * {@link ReplicaActions#operationFailed} follows.
 	 * @param readId an identifier chosen by the caller
 	 * @param now the time
 	 */
@@ -74,7 +75,7 @@
 	 * covers may be discarded.
 	 * @param snapshot the snapshot
 	 */
-	void compacted(Snapshot snapshot);
+	void snapshotPersisted(Snapshot snapshot);
 
 	/**
 	 * Return the status.
--- a/core/src/main/java/org/acaciacourse/core/delivery/AnswerSequence.java
+++ b/core/src/main/java/org/acaciacourse/core/delivery/ResponseTokenSequence.java
@@ -11,7 +11,7 @@
  * <p>
  * Not thread safe: it belongs to the thread that owns the request.
  */
-public final class AnswerSequence {
+public final class ResponseTokenSequence {
 
 	private long forwarded;
 
@@ -23,7 +23,7 @@
 	 * Accept only the tokens of the given attempt from now on.
 	 * @param attemptId the id of the attempt
 	 */
-	public void follow(long attemptId) {
+	public void switchToAttempt(long attemptId) {
 		this.currentAttempt = attemptId;
 	}
 
@@ -35,7 +35,7 @@
 	 */
 	public Verdict token(long attemptId, long index) {
 		if (this.ended || attemptId != this.currentAttempt) {
-			return Verdict.FOREIGN;
+			return Verdict.DISCARD;
 		}
 		if (index < this.forwarded) {
 			return Verdict.SKIP;
@@ -44,7 +44,7 @@
 			return Verdict.GAP;
 		}
 		this.forwarded++;
-		return Verdict.PASS;
+		return Verdict.FORWARD;
 	}
 
 	/**
@@ -65,7 +65,7 @@
 	 * @return the number of tokens, which is the index at which a resumed attempt
 	 * continues
 	 */
-	public long passedOn() {
+	public long forwardedTokens() {
 		return this.forwarded;
 	}
 
@@ -83,7 +83,7 @@
 	public enum Verdict {
 
 		/** Forward it to the client. */
-		PASS,
+		FORWARD,
 
 		/** Skip it: the client already has it. */
 		SKIP,
@@ -92,7 +92,7 @@
 		GAP,
 
 		/** Discard it: it belongs to another attempt, or the response is complete. */
-		FOREIGN
+		DISCARD
 
 	}
 
--- a/core/src/main/java/org/acaciacourse/core/delivery/RunLedger.java
+++ b/core/src/main/java/org/acaciacourse/core/delivery/RunStateTracker.java
@@ -16,7 +16,7 @@
  * <p>
  * Not thread safe: belongs to the thread that owns the request.
  */
-public final class RunLedger {
+public final class RunStateTracker {
 
 	private final Map<Long, Stage> attempts = new HashMap<>();
 
@@ -24,7 +24,7 @@
 	 * Record the start of an attempt, before any byte is written to a connection.
 	 * @param attemptId the id of the attempt
 	 */
-	public void begin(long attemptId) {
+	public void attemptStarted(long attemptId) {
 		this.attempts.putIfAbsent(attemptId, Stage.NOT_SENT);
 	}
 
@@ -34,7 +34,7 @@
 	 * the state at "not run".
 	 * @param attemptId the id of the attempt
 	 */
-	public void mayReach(long attemptId) {
+	public void beforeSend(long attemptId) {
 		advance(attemptId, Stage.MAY_HAVE_RUN);
 	}
 
@@ -66,7 +66,7 @@
 	 * Return whether a request that must run at most once may be sent again.
 	 * @return whether no attempt so far can have run
 	 */
-	public boolean mayRunAgain() {
+	public boolean mayRetry() {
 		return state() == RunState.NOT_RUN;
 	}
 
@@ -75,7 +75,7 @@
 	 * @return the state to report to the client
 	 */
 	public RunState state() {
-		return this.attempts.values().stream().map(Stage::state).reduce(RunState.NOT_RUN, RunState::and);
+		return this.attempts.values().stream().map(Stage::state).reduce(RunState.NOT_RUN, RunState::combine);
 	}
 
 	private void advance(long attemptId, Stage stage) {
--- a/core/src/main/java/org/acaciacourse/core/dispatch/Admission.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/Admission.java
@@ -38,7 +38,7 @@
 	 * @return the refusal, empty if the request is admitted
 	 */
 	Optional<Refusal> check(PendingRequest pending, PolicyQueue queue, long now) {
-		if (this.state.suspects.crashes(pending.info.contentHash(), now) >= SuspectTable.CONVICTION) {
+		if (this.state.suspects.crashes(pending.info.contentHash(), now) >= SuspectTable.BLOCKING_CRASHES) {
 			return Refusal.of(ResultCode.CRASHING_CONTENT, 0);
 		}
 		if (pending.deadlineAt <= now) {
--- a/core/src/main/java/org/acaciacourse/core/dispatch/DispatchActions.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/DispatchActions.java
@@ -39,7 +39,7 @@
 	 * @param requestId the id of the request
 	 * @param estimate the inputs of the decision
 	 */
-	default void unreachable(long requestId, TargetEstimate estimate) {
+	default void targetUnreachable(long requestId, TargetEstimate estimate) {
 	}
 
 	/**
@@ -64,11 +64,11 @@
 	 * @param endpoint the name of the endpoint
 	 * @param enginePriority the priority passed to the engine; a smaller number runs
 	 * first
-	 * @param resumeAt the number of answer tokens that the caller already has; the
+	 * @param resumeFrom the number of answer tokens that the caller already has; the
 	 * attempt continues after them
 	 * @param policy the name of the policy that decided
 	 */
-	record Attempt(long id, long requestId, String endpoint, int enginePriority, int resumeAt, String policy) {
+	record Attempt(long id, long requestId, String endpoint, int enginePriority, int resumeFrom, String policy) {
 	}
 
 }
--- a/core/src/main/java/org/acaciacourse/core/dispatch/DispatchState.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/DispatchState.java
@@ -126,7 +126,7 @@
 			healthy += (endpoint.isHealthy()) ? 1 : 0;
 			slots += (endpoint.isHealthy()) ? endpoint.usableSlots() : 0;
 		}
-		this.actions.unreachable(pending.info.id(),
+		this.actions.targetUnreachable(pending.info.id(),
 				new TargetEstimate(now - pending.arrivedAt, expectedWait, minServiceTime,
 						pending.targetAt - pending.arrivedAt, queue.aheadOf(pending),
 						pending.endpointSet.activeAttempts, healthy, slots,
--- a/core/src/main/java/org/acaciacourse/core/dispatch/Dispatcher.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/Dispatcher.java
@@ -62,7 +62,7 @@
 	 * @param request the properties of the request
 	 * @param now the time
 	 */
-	void arrive(RequestInfo request, long now);
+	void requestArrived(RequestInfo request, long now);
 
 	/**
 	 * Handle the disconnect of a caller; the attempts of its request are cancelled.
@@ -77,7 +77,7 @@
 	 * @param count the number of tokens received
 	 * @param now the time
 	 */
-	void tokens(long attemptId, int count, long now);
+	void tokensReceived(long attemptId, int count, long now);
 
 	/**
 	 * Handle the end of an attempt.
@@ -85,7 +85,7 @@
 	 * @param outcome the outcome
 	 * @param now the time
 	 */
-	void ended(long attemptId, AttemptOutcome outcome, long now);
+	void attemptEnded(long attemptId, AttemptOutcome outcome, long now);
 
 	/**
 	 * Handle a report about content that was running on a crashed endpoint.
@@ -94,7 +94,7 @@
 	 * suspicion
 	 * @param now the time
 	 */
-	void suspect(long contentHash, int crashes, long now);
+	void suspectReported(long contentHash, int crashes, long now);
 
 	/**
 	 * Start to shut down: new requests are refused, open requests are completed.
--- a/core/src/main/java/org/acaciacourse/core/dispatch/EndpointStatus.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/EndpointStatus.java
@@ -20,7 +20,7 @@
 	 * Return whether the endpoint may receive new requests.
 	 * @return whether new requests are permitted
 	 */
-	public boolean acceptsWork() {
+	public boolean acceptsRequests() {
 		return this == LIVE;
 	}
 
--- a/core/src/main/java/org/acaciacourse/core/dispatch/EndpointView.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/EndpointView.java
@@ -205,7 +205,7 @@
 	}
 
 	boolean isInService() {
-		return this.status.acceptsWork() && !this.definition.drained();
+		return this.status.acceptsRequests() && !this.definition.drained();
 	}
 
 	boolean acceptsRequests(long now) {
--- a/core/src/main/java/org/acaciacourse/core/dispatch/OutcomeHandler.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/OutcomeHandler.java
@@ -69,7 +69,7 @@
 		this.state.close(pending);
 		long content = pending.info.contentHash();
 		int crashes = this.state.suspects.crashes(content, now);
-		if (pending.isolated && crashes > 0 && crashes < SuspectTable.CONVICTION) {
+		if (pending.isolated && crashes > 0 && crashes < SuspectTable.BLOCKING_CRASHES) {
 			clearSuspicion(pending, now);
 		}
 	}
@@ -117,8 +117,8 @@
 	private void recordCrash(ActiveAttempt attempt, long now) {
 		long content = attempt.pending.info.contentHash();
 		attempt.pending.crashCount++;
-		boolean proven = attempt.isolated || attempt.pending.crashCount >= SuspectTable.CONVICTION;
-		int crashes = (proven) ? SuspectTable.CONVICTION : 1;
+		boolean proven = attempt.isolated || attempt.pending.crashCount >= SuspectTable.BLOCKING_CRASHES;
+		int crashes = (proven) ? SuspectTable.BLOCKING_CRASHES : 1;
 		if (this.state.suspects.crashes(content, now) >= crashes) {
 			return;
 		}
@@ -130,7 +130,7 @@
 	private void retry(ActiveAttempt attempt, AttemptOutcome outcome, long now) {
 		PendingRequest pending = attempt.pending;
 		boolean notRun = outcome == AttemptOutcome.NOT_SENT || outcome == AttemptOutcome.REFUSED;
-		if (this.state.suspects.crashes(pending.info.contentHash(), now) >= SuspectTable.CONVICTION) {
+		if (this.state.suspects.crashes(pending.info.contentHash(), now) >= SuspectTable.BLOCKING_CRASHES) {
 			this.state.finish(pending, ResultCode.CRASHING_CONTENT, 0);
 		}
 		else if (!notRun && !mayRepeat(pending)) {
--- a/core/src/main/java/org/acaciacourse/core/dispatch/PolicyDispatcher.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/PolicyDispatcher.java
@@ -75,7 +75,7 @@
 	 * @param count the number of VMs, including this one
 	 * @param now the time
 	 */
-	public void entryShare(int index, int count, long now) {
+	public void entryPosition(int index, int count, long now) {
 		this.state.entryIndex = index;
 		entryCount(count, now);
 	}
@@ -105,7 +105,7 @@
 	private void configureEndpoint(Endpoint endpoint) {
 		EndpointView view = this.state.endpoints.computeIfAbsent(endpoint.name(), (name) -> new EndpointView(endpoint));
 		view.definition = endpoint;
-		this.state.sets.get(endpoint.set()).endpoints.add(view);
+		this.state.sets.get(endpoint.endpointSet()).endpoints.add(view);
 	}
 
 	// Creates the queues anew and moves all waiting requests to them in order of arrival.
@@ -113,8 +113,8 @@
 		List<PendingRequest> waiting = new ArrayList<>();
 		set.queues.values().forEach((queue) -> queue.forEach(waiting::add));
 		set.queues.clear();
-		set.queues.put(manifest.policyInForce().policy(), createQueue(manifest, manifest.policyInForce().policy()));
-		manifest.policyInForce().split().ifPresent((name) -> set.queues.put(name, createQueue(manifest, name)));
+		set.queues.put(manifest.policySelection().policy(), createQueue(manifest, manifest.policySelection().policy()));
+		manifest.policySelection().split().ifPresent((name) -> set.queues.put(name, createQueue(manifest, name)));
 		waiting.sort((a, b) -> Long.compare(a.info.id(), b.info.id()));
 		waiting.forEach((pending) -> queueOf(pending).add(pending));
 		this.state.requests.values()
@@ -129,7 +129,7 @@
 	}
 
 	private PolicyQueue queueOf(PendingRequest pending) {
-		String policy = this.state.manifest.policyInForce().choose(pending.info.contentHash());
+		String policy = this.state.manifest.policySelection().choose(pending.info.contentHash());
 		return pending.endpointSet.queues.get(policy);
 	}
 
@@ -147,7 +147,7 @@
 		EndpointView view = this.state.endpoints.get(endpoint);
 		if (view != null) {
 			view.applyReport(report, this.state.slotAllocator, now);
-			dispatchWaiting(this.state.sets.get(view.definition.set()), now);
+			dispatchWaiting(this.state.sets.get(view.definition.endpointSet()), now);
 		}
 	}
 
@@ -160,7 +160,7 @@
 	}
 
 	@Override
-	public void arrive(RequestInfo request, long now) {
+	public void requestArrived(RequestInfo request, long now) {
 		Optional<ResultCode> refusal = validate(request);
 		if (refusal.isPresent()) {
 			refuse(request, refusal.get(), MIN_REFUSAL_WAIT_NANOS);
@@ -241,7 +241,7 @@
 	}
 
 	@Override
-	public void tokens(long attemptId, int count, long now) {
+	public void tokensReceived(long attemptId, int count, long now) {
 		ActiveAttempt attempt = this.state.attempts.find(attemptId);
 		if (attempt == null || count <= 0) {
 			return;
@@ -274,7 +274,7 @@
 	}
 
 	@Override
-	public void ended(long attemptId, AttemptOutcome outcome, long now) {
+	public void attemptEnded(long attemptId, AttemptOutcome outcome, long now) {
 		ActiveAttempt attempt = this.state.attempts.find(attemptId);
 		if (attempt == null) {
 			return;
@@ -292,7 +292,7 @@
 	}
 
 	@Override
-	public void suspect(long contentHash, int crashes, long now) {
+	public void suspectReported(long contentHash, int crashes, long now) {
 		this.state.suspects.record(contentHash, crashes, false, now);
 		if (crashes > 0) {
 			this.outcomeHandler.cancelSameContent(contentHash, now);
@@ -307,7 +307,7 @@
 
 	// Applies a changed suspicion to a waiting request.
 	private void applySuspicion(PendingRequest pending, int crashes, long now) {
-		if (crashes >= SuspectTable.CONVICTION) {
+		if (crashes >= SuspectTable.BLOCKING_CRASHES) {
 			this.state.finish(pending, ResultCode.CRASHING_CONTENT, 0);
 			return;
 		}
@@ -327,7 +327,7 @@
 	 * Return the number of requests without a final answer.
 	 * @return the number of waiting and running requests
 	 */
-	public int openRequests() {
+	public int openRequestCount() {
 		return this.state.requests.size();
 	}
 
--- a/core/src/main/java/org/acaciacourse/core/dispatch/TargetEstimate.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/TargetEstimate.java
@@ -8,8 +8,8 @@
  *
  * @param waited the time since the arrival of the request
  * @param expectedWait the expected time until its dispatch, 0 if it was next
- * @param leastTime the minimum time from dispatch to the target event according to recent
- * observations
+ * @param minServiceTime the minimum time from dispatch to the target event according to
+ * recent observations
  * @param target the time from the arrival to the target
  * @param ahead the number of requests served before it
  * @param running the number of active attempts of this VM at the endpoint set
@@ -17,6 +17,6 @@
  * @param slots the number of usable slots of those endpoints
  * @param meanDuration the mean duration of an attempt of its class
  */
-public record TargetEstimate(long waited, long expectedWait, long leastTime, long target, int ahead, int running,
+public record TargetEstimate(long waited, long expectedWait, long minServiceTime, long target, int ahead, int running,
 		int healthy, int slots, long meanDuration) {
 }
--- a/core/src/main/java/org/acaciacourse/core/dispatch/suspect/SuspectTable.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/suspect/SuspectTable.java
@@ -20,7 +20,7 @@
 public final class SuspectTable {
 
 	/** The number of crashes from which content is refused. */
-	public static final int CONVICTION = 2;
+	public static final int BLOCKING_CRASHES = 2;
 
 	/** The maximum number of entries. */
 	public static final int MAX_ENTRIES = 4_096;
@@ -62,7 +62,7 @@
 		this.lastReportAt = now;
 		int maxCrashes = (old != null) ? Math.max(old.crashes, crashes) : crashes;
 		boolean everLocal = local || (old != null && old.local);
-		this.entries.put(contentHash, new Entry(Math.min(maxCrashes, CONVICTION), everLocal, !local, now));
+		this.entries.put(contentHash, new Entry(Math.min(maxCrashes, BLOCKING_CRASHES), everLocal, !local, now));
 		if (this.entries.size() > MAX_ENTRIES) {
 			Iterator<Long> oldest = this.entries.keySet().iterator();
 			oldest.next();
@@ -74,7 +74,7 @@
 	 * Return the number of crashes attributed to a content.
 	 * @param contentHash the hash of customer and content
 	 * @param now the time
-	 * @return the number of crashes, 0 to {@link #CONVICTION}
+	 * @return the number of crashes, 0 to {@link #BLOCKING_CRASHES}
 	 */
 	public int crashes(long contentHash, long now) {
 		Entry entry = find(contentHash, now);
@@ -113,7 +113,7 @@
 	}
 
 	private static boolean isActive(Entry entry, long now) {
-		return entry.crashes < CONVICTION && now - entry.updatedAt <= ACTIVE_WINDOW_NANOS;
+		return entry.crashes < BLOCKING_CRASHES && now - entry.updatedAt <= ACTIVE_WINDOW_NANOS;
 	}
 
 	/**
--- a/core/src/main/java/org/acaciacourse/core/ini/TextCursor.java
+++ b/core/src/main/java/org/acaciacourse/core/ini/TextCursor.java
@@ -45,7 +45,7 @@
 	 * @param chars the accepted characters
 	 * @return whether a character was consumed
 	 */
-	public boolean pass(String chars) {
+	public boolean consume(String chars) {
 		boolean matches = this.position < this.text.length() && chars.indexOf(this.text.charAt(this.position)) >= 0;
 		this.position += (matches) ? 1 : 0;
 		return matches;
@@ -54,7 +54,7 @@
 	/**
 	 * Skip all whitespace.
 	 */
-	public void passBlanks() {
+	public void skipWhitespace() {
 		while (this.position < this.text.length() && Character.isWhitespace(this.text.charAt(this.position))) {
 			this.position++;
 		}
@@ -64,7 +64,7 @@
 	 * Return the remaining text.
 	 * @return the text from the cursor to the end
 	 */
-	public String rest() {
+	public String remaining() {
 		return this.text.substring(this.position);
 	}
 
--- a/core/src/main/java/org/acaciacourse/core/ini/Units.java
+++ b/core/src/main/java/org/acaciacourse/core/ini/Units.java
@@ -31,10 +31,10 @@
 	public static Optional<Duration> duration(String text) {
 		TextCursor cursor = new TextCursor(text.strip());
 		String whole = cursor.digits(MAX_DIGITS);
-		boolean hasPoint = cursor.pass(".");
+		boolean hasPoint = cursor.consume(".");
 		String fraction = (hasPoint) ? cursor.digits(MAX_DECIMALS) : "";
-		cursor.passBlanks();
-		Optional<Duration> unit = unit(cursor.rest());
+		cursor.skipWhitespace();
+		Optional<Duration> unit = unit(cursor.remaining());
 		if (whole.isEmpty() || fraction.isEmpty() == hasPoint || unit.isEmpty()) {
 			return Optional.empty();
 		}
@@ -65,14 +65,14 @@
 	public static boolean isDecimal(String text) {
 		TextCursor cursor = new TextCursor(text);
 		boolean valid = !cursor.digits(MAX_DIGITS).isEmpty();
-		if (cursor.pass(".")) {
+		if (cursor.consume(".")) {
 			valid &= !cursor.digits(MAX_DECIMALS).isEmpty();
 		}
-		if (cursor.pass("eE")) {
-			cursor.pass("+-");
+		if (cursor.consume("eE")) {
+			cursor.consume("+-");
 			valid &= !cursor.digits(MAX_EXPONENT_DIGITS).isEmpty();
 		}
-		return valid && cursor.rest().isEmpty();
+		return valid && cursor.remaining().isEmpty();
 	}
 
 	/**
@@ -83,12 +83,12 @@
 	public static Optional<Long> bytes(String text) {
 		TextCursor cursor = new TextCursor(text.strip());
 		String digits = cursor.digits(MAX_SIZE_DIGITS);
-		cursor.passBlanks();
+		cursor.skipWhitespace();
 		if (digits.isEmpty() || digits.charAt(0) == '0') {
 			return Optional.empty();
 		}
 		long amount = Long.parseLong(digits);
-		return switch (cursor.rest()) {
+		return switch (cursor.remaining()) {
 			case "B" -> Optional.of(amount);
 			case "KiB" -> Optional.of(amount << 10);
 			case "MiB" -> Optional.of(amount << 20);
--- a/core/src/main/java/org/acaciacourse/core/lease/LeaseHolder.java
+++ b/core/src/main/java/org/acaciacourse/core/lease/LeaseHolder.java
@@ -49,7 +49,7 @@
 	 * @param now the current time
 	 * @return the number of the request to send, if one is due
 	 */
-	public OptionalLong request(long now) {
+	public OptionalLong requestIfDue(long now) {
 		boolean timedOut = this.requestOutstanding && now - this.requestedAt >= this.timing.renewIntervalNanos();
 		if ((this.requestOutstanding && !timedOut) || now < this.nextRequestAt) {
 			return OptionalLong.empty();
--- a/core/src/main/java/org/acaciacourse/core/manifest/ManifestParser.java
+++ b/core/src/main/java/org/acaciacourse/core/manifest/ManifestParser.java
@@ -25,9 +25,9 @@
 import org.acaciacourse.core.model.LatencyTarget;
 import org.acaciacourse.core.model.Manifest;
 import org.acaciacourse.core.model.Policy;
-import org.acaciacourse.core.model.PolicyInForce;
 import org.acaciacourse.core.model.PolicyKind;
 import org.acaciacourse.core.model.PolicyParameter;
+import org.acaciacourse.core.model.PolicySelection;
 import org.acaciacourse.core.model.RequestClass;
 import org.acaciacourse.core.model.Service;
 import org.acaciacourse.core.model.Tier;
@@ -133,7 +133,7 @@
 		if (!this.problems.isEmpty()) {
 			return Either.left(List.copyOf(this.problems));
 		}
-		PolicyInForce inForce = new PolicyInForce(policy, split, splitPercent);
+		PolicySelection inForce = new PolicySelection(policy, split, splitPercent);
 		return Either.right(new Manifest(number, this.document.digest(), inForce, policies, classes, sets, endpoints,
 				customers, services, drainedVms));
 	}
--- a/core/src/main/java/org/acaciacourse/core/measure/RetryWindows.java
+++ b/core/src/main/java/org/acaciacourse/core/measure/RetryBudgetChecker.java
@@ -13,7 +13,7 @@
  * <p>
  * Not thread safe.
  */
-public final class RetryWindows {
+public final class RetryBudgetChecker {
 
 	private final long windowNanos;
 
@@ -31,7 +31,7 @@
 	 * @param ratio the retries allowed per request
 	 * @param minimum the retries allowed regardless of the number of requests
 	 */
-	public RetryWindows(long windowNanos, double ratio, double minimum) {
+	public RetryBudgetChecker(long windowNanos, double ratio, double minimum) {
 		this.windowNanos = windowNanos;
 		this.ratio = ratio;
 		this.minimum = minimum;
@@ -41,7 +41,7 @@
 	 * Record a request of a caller.
 	 * @param at the time when it was sent, in nanoseconds
 	 */
-	public void request(long at) {
+	public void addRequest(long at) {
 		this.requests.add(at);
 	}
 
@@ -49,7 +49,7 @@
 	 * Record an arrival at an endpoint after the first one of the same request.
 	 * @param at the time when it arrived, in nanoseconds
 	 */
-	public void retry(long at) {
+	public void addRetry(long at) {
 		this.retries.add(at);
 	}
 
@@ -65,7 +65,7 @@
 	 * Return the first window with more retries than the budget allows.
 	 * @return a description of the window, empty if there is none
 	 */
-	public Optional<String> excess() {
+	public Optional<String> findViolation() {
 		Collections.sort(this.requests);
 		Collections.sort(this.retries);
 		return this.retries.stream().distinct().flatMap((from) -> violationFrom(from).stream()).findFirst();
--- a/core/src/main/java/org/acaciacourse/core/model/Manifest.java
+++ b/core/src/main/java/org/acaciacourse/core/model/Manifest.java
@@ -11,7 +11,7 @@
  *
  * @param number the number, which increases with each manifest
  * @param digest the SHA-256 of the canonical document, in hexadecimal digits
- * @param policyInForce the selection of the active policy
+ * @param policySelection the selection of the active policy
  * @param policies the policies by name
  * @param classes the request classes by name
  * @param endpointSets the endpoint sets by name
@@ -20,7 +20,7 @@
  * @param services the plain services by name
  * @param drainedVms the names of the system's own VMs that are marked as drained
  */
-public record Manifest(long number, String digest, PolicyInForce policyInForce, Map<String, Policy> policies,
+public record Manifest(long number, String digest, PolicySelection policySelection, Map<String, Policy> policies,
 		Map<String, RequestClass> classes, Map<String, EndpointSet> endpointSets, Map<String, Endpoint> endpoints,
 		Map<String, Customer> customers, Map<String, Service> services, Set<String> drainedVms) {
 
--- a/core/src/main/java/org/acaciacourse/core/model/PolicyInForce.java
+++ b/core/src/main/java/org/acaciacourse/core/model/PolicySelection.java
@@ -13,9 +13,9 @@
  * @param split the name of the second policy, if requests are split
  * @param splitPercent the percentage of requests that use the second policy, 0 to 100
  */
-public record PolicyInForce(String policy, Optional<String> split, int splitPercent) {
+public record PolicySelection(String policy, Optional<String> split, int splitPercent) {
 
-	public PolicyInForce {
+	public PolicySelection {
 		Objects.requireNonNull(policy, "policy");
 		Objects.requireNonNull(split, "split");
 		if (splitPercent < 0 || splitPercent > 100) {
--- a/core/src/main/java/org/acaciacourse/core/order/DesiredEngine.java
+++ b/core/src/main/java/org/acaciacourse/core/order/DesiredEngine.java
@@ -38,7 +38,7 @@
 	public static SortedMap<String, DesiredEngine> of(Manifest manifest) {
 		SortedMap<String, DesiredEngine> engines = new TreeMap<>();
 		for (Endpoint endpoint : manifest.endpoints().values()) {
-			EndpointSet set = manifest.endpointSets().get(endpoint.set());
+			EndpointSet set = manifest.endpointSets().get(endpoint.endpointSet());
 			if (set.kind() == EndpointSet.Kind.MODEL && !endpoint.drained()) {
 				engines.put(endpoint.name(), new DesiredEngine(endpoint.name(), set.models(), set.checksFencing(),
 						highestTier(manifest, set.name())));
--- a/core/src/main/java/org/acaciacourse/core/order/WeightBudget.java
+++ b/core/src/main/java/org/acaciacourse/core/order/ModelLoadBudget.java
@@ -15,7 +15,7 @@
  * Not thread safe: belongs to one writer. A new writer starts with an empty bucket,
  * because the previous one may have used all tokens.
  */
-public final class WeightBudget {
+public final class ModelLoadBudget {
 
 	private final double capacity;
 
@@ -31,7 +31,7 @@
 	 * @param perSecond how many loads may start per second in the long run
 	 * @param now the current time
 	 */
-	public WeightBudget(int capacity, double perSecond, long now) {
+	public ModelLoadBudget(int capacity, double perSecond, long now) {
 		if (capacity < Tier.values().length || !(perSecond > 0)) {
 			throw new IllegalArgumentException(
 					"capacity must be at least one token per tier and the rate must be positive");
--- a/core/src/main/java/org/acaciacourse/core/order/OrderActions.java
+++ b/core/src/main/java/org/acaciacourse/core/order/OrderActions.java
@@ -8,15 +8,16 @@
 
 	/**
 	 * Read the state of an engine, then call {@link OrderWriter#stateRead} or
-	 * {@link OrderWriter#failed}.
+	 * {@link OrderWriter#requestFailed}.
 	 * @param endpoint the name of the endpoint
 	 */
 	void readState(String endpoint);
 
 	/**
-	 * Send an order, then call {@link OrderWriter#done}, {@link OrderWriter#fenced} or
-	 * {@link OrderWriter#failed}. Implementations must check the lease again right before
-	 * the order is written and abort it after {@link OrderTiming#orderTimeoutNanos()}.
+	 * Send an order, then call {@link OrderWriter#orderCompleted},
+	 * {@link OrderWriter#orderRefused} or {@link OrderWriter#requestFailed}.
+	 * Implementations must check the lease again right before the order is written and
+	 * abort it after {@link OrderTiming#orderTimeoutNanos()}.
 	 * @param order the order
 	 */
 	void send(EngineOrder order);
@@ -27,6 +28,6 @@
 	 * @param endpoint the name of the endpoint
 	 * @param fencingNumber the number that the engine has seen, 0 if it is not known
 	 */
-	void outdated(String endpoint, long fencingNumber);
+	void higherFencingNumberSeen(String endpoint, long fencingNumber);
 
 }
--- a/core/src/main/java/org/acaciacourse/core/order/OrderWriter.java
+++ b/core/src/main/java/org/acaciacourse/core/order/OrderWriter.java
@@ -34,7 +34,7 @@
 
 	private final OrderTiming timing;
 
-	private final WeightBudget budget;
+	private final ModelLoadBudget budget;
 
 	private final OrderActions actions;
 
@@ -52,7 +52,7 @@
 	 * @param budget the budget for model loads
 	 * @param actions carries out the actions that the writer requests
 	 */
-	public OrderWriter(OrderTiming timing, WeightBudget budget, OrderActions actions) {
+	public OrderWriter(OrderTiming timing, ModelLoadBudget budget, OrderActions actions) {
 		this.timing = timing;
 		this.budget = budget;
 		this.actions = actions;
@@ -63,7 +63,7 @@
 	 * @param engines the desired engines by endpoint name
 	 * @param now the current time
 	 */
-	public void desire(SortedMap<String, DesiredEngine> engines, long now) {
+	public void updateDesired(SortedMap<String, DesiredEngine> engines, long now) {
 		Map<String, DesiredEngine> previous = this.desired;
 		this.desired = new TreeMap<>(engines);
 		this.byTier = engines.values()
@@ -111,7 +111,7 @@
 	 * Handle an order that the engine carried out.
 	 * @param order the order
 	 */
-	public void done(EngineOrder order) {
+	public void orderCompleted(EngineOrder order) {
 		recordIfCurrent(order.endpoint(), order.fencingNumber()).ifPresent((record) -> record.orderCompleted(order));
 	}
 
@@ -121,10 +121,10 @@
 	 * @param order the order
 	 * @param now the current time
 	 */
-	public void fenced(EngineOrder order, long now) {
+	public void orderRefused(EngineOrder order, long now) {
 		recordIfCurrent(order.endpoint(), order.fencingNumber()).ifPresent((record) -> {
 			record.resetAndReadAt(now + this.timing.rereadNanos());
-			this.actions.outdated(order.endpoint(), 0);
+			this.actions.higherFencingNumberSeen(order.endpoint(), 0);
 		});
 	}
 
@@ -135,7 +135,7 @@
 	 * @param fencingNumber the fencing number of the lease when the request was sent
 	 * @param now the current time
 	 */
-	public void failed(String endpoint, long fencingNumber, long now) {
+	public void requestFailed(String endpoint, long fencingNumber, long now) {
 		recordIfCurrent(endpoint, fencingNumber)
 			.ifPresent((record) -> record.resetAndReadAt(now + this.timing.orderTimeoutNanos()));
 	}
@@ -160,7 +160,7 @@
 		EngineState state = record.state().get();
 		if (engine.checksFencing() && state.fencingNumber() > this.currentFencingNumber) {
 			record.resetAndReadAt(now + this.timing.rereadNanos());
-			this.actions.outdated(engine.endpoint(), state.fencingNumber());
+			this.actions.higherFencingNumberSeen(engine.endpoint(), state.fencingNumber());
 			return;
 		}
 		Optional<EngineOrder> next = nextOrder(engine, record, now);
--- a/core/src/main/java/org/acaciacourse/core/route/RouteTable.java
+++ b/core/src/main/java/org/acaciacourse/core/route/RouteTable.java
@@ -136,7 +136,7 @@
 	 * Return whether requests need a customer's key.
 	 * @return whether the table has any customers
 	 */
-	public boolean isKeyed() {
+	public boolean requiresCustomerKey() {
 		return this.hasCustomers;
 	}
 
@@ -163,7 +163,7 @@
 	 * @param pool the name of the pool
 	 * @return the gap, empty if no route to the pool has such a target
 	 */
-	public Optional<Duration> shortestGap(String pool) {
+	public Optional<Duration> shortestEventGap(String pool) {
 		return routesTo(pool).map(Route::eventGap).filter((gap) -> !gap.isZero()).min(Duration::compareTo);
 	}
 
--- a/core/src/main/java/org/acaciacourse/core/route/RouteTableParser.java
+++ b/core/src/main/java/org/acaciacourse/core/route/RouteTableParser.java
@@ -36,19 +36,19 @@
 public final class RouteTableParser {
 
 	/** The name of the section that marks a routing manifest. */
-	public static final String ROUTING = "routing";
+	public static final String ROUTING_SECTION = "routing";
 
 	/** The name prefix of the sections of routes. */
-	public static final String ROUTE = "route ";
+	public static final String ROUTE_PREFIX = "route ";
 
 	/** The name prefix of the sections of pools. */
-	public static final String POOL = "pool ";
+	public static final String POOL_PREFIX = "pool ";
 
 	/** The name prefix of the sections of customers. */
-	public static final String CUSTOMER = "customer ";
+	public static final String CUSTOMER_PREFIX = "customer ";
 
 	/** The key that is ignored. */
-	public static final String ANNOTATION = "annotation";
+	public static final String ANNOTATION_KEY = "annotation";
 
 	private ManifestDocument previousDocument = ManifestDocument.empty();
 
@@ -62,7 +62,7 @@
 	 * @return whether it has a routing section
 	 */
 	public static boolean isRouting(ManifestDocument document) {
-		return document.contains(ROUTING);
+		return document.contains(ROUTING_SECTION);
 	}
 
 	/**
@@ -74,10 +74,12 @@
 		this.problems = new ArrayList<>();
 		Map<String, Object> elements = new HashMap<>();
 		SortedMap<String, SortedMap<String, String>> sections = document.sections();
-		List<Pool> pools = parseSections(POOL, document, sections, this::parsePool, elements, Pool.class);
-		List<KeyOwner> owners = parseSections(CUSTOMER, document, sections, this::parseOwner, elements, KeyOwner.class);
-		List<Route> routes = parseSections(ROUTE, document, sections, this::parseRoute, elements, Route.class);
-		SectionReader routing = new SectionReader(ROUTING, sections.getOrDefault(ROUTING, new TreeMap<>()));
+		List<Pool> pools = parseSections(POOL_PREFIX, document, sections, this::parsePool, elements, Pool.class);
+		List<KeyOwner> owners = parseSections(CUSTOMER_PREFIX, document, sections, this::parseOwner, elements,
+				KeyOwner.class);
+		List<Route> routes = parseSections(ROUTE_PREFIX, document, sections, this::parseRoute, elements, Route.class);
+		SectionReader routing = new SectionReader(ROUTING_SECTION,
+				sections.getOrDefault(ROUTING_SECTION, new TreeMap<>()));
 		long number = routing.number("number", 1, Long.MAX_VALUE, 0);
 		CallerLimits limits = parseLimits(routing);
 		checkUniqueHostAndPrefix(routes);
@@ -179,7 +181,7 @@
 		for (Route route : routes) {
 			String other = names.putIfAbsent(route.host() + ' ' + route.pathPrefix(), route.name());
 			if (other != null) {
-				addProblem(ROUTE + route.name(), "path-prefix", "same host and path prefix as route " + other);
+				addProblem(ROUTE_PREFIX + route.name(), "path-prefix", "same host and path prefix as route " + other);
 			}
 		}
 	}
@@ -191,7 +193,8 @@
 			route.shares()
 				.stream()
 				.filter((share) -> !known.contains(share.pool()))
-				.forEach((share) -> addProblem(ROUTE + route.name(), "pools", "there is no pool " + share.pool()));
+				.forEach((share) -> addProblem(ROUTE_PREFIX + route.name(), "pools",
+						"there is no pool " + share.pool()));
 		}
 	}
 
@@ -201,7 +204,7 @@
 			for (String key : owner.keys()) {
 				String other = customers.putIfAbsent(key, owner.customer());
 				if (other != null && !other.equals(owner.customer())) {
-					addProblem(CUSTOMER + owner.customer(), "keys", "a key also belongs to customer " + other);
+					addProblem(CUSTOMER_PREFIX + owner.customer(), "keys", "a key also belongs to customer " + other);
 				}
 			}
 		}
--- a/core/src/main/java/org/acaciacourse/core/state/ClaimTable.java
+++ b/core/src/main/java/org/acaciacourse/core/state/ClaimTable.java
@@ -84,11 +84,11 @@
 		if (!open || command.outcome() == ClaimOutcome.IN_PROGRESS || command.outcome() == old.outcome()) {
 			return new ClaimResult(ResultCode.OK, false, old.outcome(), Optional.empty());
 		}
-		int length = command.answer().length;
+		int length = command.response().length;
 		boolean storeResponse = command.outcome() == ClaimOutcome.ANSWERED && length > 0
 				&& length <= MAX_RESPONSE_BYTES;
 		put(old.withOutcome(command.outcome(), time,
-				(storeResponse) ? Optional.of(command.answer()) : Optional.empty()));
+				(storeResponse) ? Optional.of(command.response()) : Optional.empty()));
 		evictOldestResponses();
 		return new ClaimResult(ResultCode.OK, false, command.outcome(), Optional.empty());
 	}
@@ -147,24 +147,24 @@
 		if (old.outcome() == ClaimOutcome.UNKNOWN) {
 			return new ClaimResult(ResultCode.CLAIM_OUTCOME_UNKNOWN, false, old.outcome(), Optional.empty());
 		}
-		ResultCode code = (old.answer().isPresent()) ? ResultCode.OK : ResultCode.CLAIM_ANSWER_NOT_KEPT;
-		return new ClaimResult(code, false, old.outcome(), old.answer());
+		ResultCode code = (old.response().isPresent()) ? ResultCode.OK : ResultCode.CLAIM_ANSWER_NOT_KEPT;
+		return new ClaimResult(code, false, old.outcome(), old.response());
 	}
 
 	private void put(ClaimRecord claim) {
 		remove(claim.key());
 		this.claims.put(claim.key(), claim);
-		claim.answer().ifPresent((answer) -> {
+		claim.response().ifPresent((response) -> {
 			this.keysWithResponse.add(claim.key());
-			this.storedResponseBytes += answer.length;
+			this.storedResponseBytes += response.length;
 		});
 	}
 
 	private void remove(ClaimKey key) {
 		ClaimRecord old = this.claims.remove(key);
-		if (old != null && old.answer().isPresent()) {
+		if (old != null && old.response().isPresent()) {
 			this.keysWithResponse.remove(key);
-			this.storedResponseBytes -= old.answer().get().length;
+			this.storedResponseBytes -= old.response().get().length;
 		}
 	}
 
@@ -173,7 +173,7 @@
 			ClaimKey oldest = this.keysWithResponse.iterator().next();
 			ClaimRecord claim = this.claims.get(oldest);
 			this.keysWithResponse.remove(oldest);
-			this.storedResponseBytes -= claim.answer().get().length;
+			this.storedResponseBytes -= claim.response().get().length;
 			// Replacing the value of an existing key keeps the order of last changes.
 			this.claims.put(oldest, claim.withoutResponse());
 		}
--- a/core/src/main/java/org/acaciacourse/core/state/Command.java
+++ b/core/src/main/java/org/acaciacourse/core/state/Command.java
@@ -83,10 +83,10 @@
 	 * @param key the key of the claim
 	 * @param owner the owner that made the claim
 	 * @param outcome the outcome
-	 * @param answer the whole response if it is to be stored, otherwise empty
+	 * @param response the whole response if it is to be stored, otherwise empty
 	 */
 	record CompleteClaim(long proposedAt, ClaimKey key, String owner, ClaimOutcome outcome,
-			byte[] answer) implements Command {
+			byte[] response) implements Command {
 	}
 
 	/**
--- a/core/src/main/java/org/acaciacourse/core/state/CommandResult.java
+++ b/core/src/main/java/org/acaciacourse/core/state/CommandResult.java
@@ -61,14 +61,14 @@
 	 * stored response is returned, otherwise the reason
 	 * @param granted whether the owner may send the request
 	 * @param outcome the outcome of the first request with the key
-	 * @param answer the stored response, if there is one
+	 * @param response the stored response, if there is one
 	 */
 	record ClaimResult(ResultCode code, boolean granted, ClaimOutcome outcome,
-			Optional<byte[]> answer) implements CommandResult {
+			Optional<byte[]> response) implements CommandResult {
 
 		public ClaimResult {
 			Objects.requireNonNull(outcome, "outcome");
-			Objects.requireNonNull(answer, "answer");
+			Objects.requireNonNull(response, "answer");
 		}
 
 	}
--- a/core/src/main/java/org/acaciacourse/core/state/ControlState.java
+++ b/core/src/main/java/org/acaciacourse/core/state/ControlState.java
@@ -7,11 +7,11 @@
 import org.acaciacourse.core.manifest.ManifestDelta;
 import org.acaciacourse.core.manifest.ManifestDocument;
 import org.acaciacourse.core.state.CommandResult.Done;
+import org.acaciacourse.core.state.ControlStateSnapshot.ActiveManifest;
 import org.acaciacourse.core.state.ControlStateSnapshot.AuditEntry;
 import org.acaciacourse.core.state.ControlStateSnapshot.ClaimRecord;
 import org.acaciacourse.core.state.ControlStateSnapshot.CrashRecord;
 import org.acaciacourse.core.state.ControlStateSnapshot.Lease;
-import org.acaciacourse.core.state.ControlStateSnapshot.ManifestInForce;
 
 /**
  * The replicated state machine, after Schneider, "Implementing Fault-Tolerant Services
@@ -42,7 +42,7 @@
 	 */
 	public ControlState() {
 		this(new ControlStateSnapshot(0, 0,
-				new ManifestInForce(0, ManifestDocument.empty().digest(), ManifestDocument.empty()), List.of(),
+				new ActiveManifest(0, ManifestDocument.empty().digest(), ManifestDocument.empty()), List.of(),
 				List.of(), 0, List.of(), List.of(), 0, List.of()));
 	}
 
@@ -132,7 +132,7 @@
 	 * Return the document of the active manifest.
 	 * @return the document
 	 */
-	public ManifestDocument document() {
+	public ManifestDocument manifestDocument() {
 		return this.manifests.active().document();
 	}
 
@@ -140,7 +140,7 @@
 	 * Return the number of the active manifest.
 	 * @return the number, 0 before the first manifest
 	 */
-	public long number() {
+	public long manifestNumber() {
 		return this.manifests.active().number();
 	}
 
@@ -148,7 +148,7 @@
 	 * Return the digest of the active manifest.
 	 * @return the digest; before the first manifest, that of the empty document
 	 */
-	public String digest() {
+	public String manifestDigest() {
 		return this.manifests.active().digest();
 	}
 
--- a/core/src/main/java/org/acaciacourse/core/state/ControlStateSnapshot.java
+++ b/core/src/main/java/org/acaciacourse/core/state/ControlStateSnapshot.java
@@ -25,7 +25,7 @@
  * @param crashRevision the revision of the latest crash report
  * @param crashes the crash reports, ordered by revision
  */
-public record ControlStateSnapshot(long appliedIndex, long time, ManifestInForce manifest, List<ManifestChange> history,
+public record ControlStateSnapshot(long appliedIndex, long time, ActiveManifest manifest, List<ManifestChange> history,
 		List<AuditEntry> audit, long fencingNumber, List<Lease> leases, List<ClaimRecord> claims, long crashRevision,
 		List<CrashRecord> crashes) {
 
@@ -45,7 +45,7 @@
 	 * @param digest its digest
 	 * @param document its sections
 	 */
-	public record ManifestInForce(long number, String digest, ManifestDocument document) {
+	public record ActiveManifest(long number, String digest, ManifestDocument document) {
 	}
 
 	/**
@@ -91,15 +91,15 @@
 	 * @param owner the owner that made it
 	 * @param outcome the outcome of the request so far
 	 * @param changedAt the logical time of its last change
-	 * @param answer the response, if it is stored
+	 * @param response the response, if it is stored
 	 */
 	public record ClaimRecord(ClaimKey key, String contentHash, String owner, ClaimOutcome outcome, long changedAt,
-			Optional<byte[]> answer) {
+			Optional<byte[]> response) {
 
 		public ClaimRecord {
 			Objects.requireNonNull(key, "key");
 			Objects.requireNonNull(outcome, "outcome");
-			Objects.requireNonNull(answer, "answer");
+			Objects.requireNonNull(response, "answer");
 		}
 
 		ClaimRecord withOutcome(ClaimOutcome newOutcome, long time, Optional<byte[]> newResponse) {
--- a/core/src/main/java/org/acaciacourse/core/state/ManifestStore.java
+++ b/core/src/main/java/org/acaciacourse/core/state/ManifestStore.java
@@ -13,9 +13,9 @@
 import org.acaciacourse.core.manifest.ManifestDelta;
 import org.acaciacourse.core.manifest.ManifestDocument;
 import org.acaciacourse.core.state.CommandResult.ManifestResult;
+import org.acaciacourse.core.state.ControlStateSnapshot.ActiveManifest;
 import org.acaciacourse.core.state.ControlStateSnapshot.AuditEntry;
 import org.acaciacourse.core.state.ControlStateSnapshot.ManifestChange;
-import org.acaciacourse.core.state.ControlStateSnapshot.ManifestInForce;
 
 /**
  * The active manifest, its latest changes and the audit log. Invariants: the number of
@@ -37,11 +37,11 @@
 
 	private final Deque<AuditEntry> audit;
 
-	private ManifestInForce active;
+	private ActiveManifest active;
 
 	private int sectionsInHistory;
 
-	ManifestStore(ManifestInForce inForce, List<ManifestChange> history, List<AuditEntry> audit) {
+	ManifestStore(ActiveManifest inForce, List<ManifestChange> history, List<AuditEntry> audit) {
 		this.active = inForce;
 		this.history = new ArrayDeque<>(history);
 		this.audit = new ArrayDeque<>(audit);
@@ -65,11 +65,11 @@
 			return result(ResultCode.INVALID_MANIFEST);
 		}
 		appendChange(command, time);
-		this.active = new ManifestInForce(command.number(), command.digest(), next);
+		this.active = new ActiveManifest(command.number(), command.digest(), next);
 		return result(ResultCode.OK);
 	}
 
-	ManifestInForce active() {
+	ActiveManifest active() {
 		return this.active;
 	}
 
--- a/core/src/test/java/org/acaciacourse/core/attempt/RequestProgressTests.java
+++ b/core/src/test/java/org/acaciacourse/core/attempt/RequestProgressTests.java
@@ -24,11 +24,11 @@
 
 	private static RequestProgress sent(RequestKind kind, boolean resumable, AttemptEnd end) {
 		RequestProgress progress = new RequestProgress(route(kind, resumable, 2));
-		progress.begin("a");
+		progress.attemptStarted("a");
 		if (end.isSent()) {
-			progress.sent();
+			progress.beforeSend();
 		}
-		progress.ended(end);
+		progress.attemptEnded(end);
 		return progress;
 	}
 
@@ -42,7 +42,7 @@
 		void isNotRetriedOnceItMayHaveRun(AttemptEnd end) {
 			for (RequestKind kind : List.of(RequestKind.UNSAFE, RequestKind.STREAM)) {
 				RequestProgress progress = sent(kind, false, end);
-				assertThat(progress.mayTryAgain()).isFalse();
+				assertThat(progress.mayRetry()).isFalse();
 				assertThat(progress.runState()).isEqualTo(RunState.UNKNOWN);
 				assertThat(progress.failure(false).httpStatus()).isAnyOf(502, 504);
 				assertThat(progress.failure(true).httpStatus()).isAnyOf(502, 504);
@@ -53,7 +53,7 @@
 		@EnumSource(value = AttemptEnd.class, names = { "NOT_SENT", "NOT_RUN" })
 		void isRetriedIfItCertainlyDidNotRun(AttemptEnd end) {
 			RequestProgress progress = sent(RequestKind.UNSAFE, false, end);
-			assertThat(progress.mayTryAgain()).isTrue();
+			assertThat(progress.mayRetry()).isTrue();
 			assertThat(progress.runState()).isEqualTo(RunState.NOT_RUN);
 			assertThat(progress.failure(false)).isEqualTo(ResultCode.NO_ENDPOINT);
 		}
@@ -63,17 +63,17 @@
 		@Test
 		void laterRefusalDoesNotUndoAnEarlierAttemptThatMayHaveRun() {
 			RequestProgress progress = sent(RequestKind.SAFE, false, AttemptEnd.BROKEN);
-			progress.begin("b");
-			progress.sent();
-			progress.ended(AttemptEnd.NOT_RUN);
+			progress.attemptStarted("b");
+			progress.beforeSend();
+			progress.attemptEnded(AttemptEnd.NOT_RUN);
 			assertThat(progress.runState()).isEqualTo(RunState.UNKNOWN);
 		}
 
 		@Test
 		void timeoutDuringAnAttemptDoesNotReportNotRun() {
 			RequestProgress progress = new RequestProgress(route(RequestKind.UNSAFE, false, 1));
-			progress.begin("a");
-			progress.sent();
+			progress.attemptStarted("a");
+			progress.beforeSend();
 			assertThat(progress.failure(true)).isEqualTo(ResultCode.ENDPOINT_TIMEOUT);
 		}
 
@@ -85,12 +85,12 @@
 		@Test
 		void areLimitedByTheRoute() {
 			RequestProgress progress = sent(RequestKind.SAFE, false, AttemptEnd.BROKEN);
-			assertThat(progress.mayTryAgain()).isTrue();
-			progress.begin("b");
-			progress.sent();
-			progress.ended(AttemptEnd.BROKEN);
-			assertThat(progress.mayTryAgain()).isFalse();
-			assertThat(progress.tried()).containsExactly("a", "b");
+			assertThat(progress.mayRetry()).isTrue();
+			progress.attemptStarted("b");
+			progress.beforeSend();
+			progress.attemptEnded(AttemptEnd.BROKEN);
+			assertThat(progress.mayRetry()).isFalse();
+			assertThat(progress.triedInstances()).containsExactly("a", "b");
 		}
 
 		// A full endpoint refuses the only permitted attempt. As no endpoint has run the
@@ -99,21 +99,21 @@
 		@Test
 		void refusedAttemptDoesNotCountTowardsTheLimit() {
 			RequestProgress progress = new RequestProgress(route(RequestKind.UNSAFE, false, 1));
-			progress.begin("a");
-			progress.sent();
-			progress.ended(AttemptEnd.NOT_RUN);
-			assertThat(progress.mayTryAgain()).isTrue();
-			assertThat(progress.isRepeat()).isTrue();
-			progress.begin("b");
-			progress.sent();
-			progress.ended(AttemptEnd.BROKEN);
-			assertThat(progress.mayTryAgain()).isFalse();
+			progress.attemptStarted("a");
+			progress.beforeSend();
+			progress.attemptEnded(AttemptEnd.NOT_RUN);
+			assertThat(progress.mayRetry()).isTrue();
+			assertThat(progress.isRetry()).isTrue();
+			progress.attemptStarted("b");
+			progress.beforeSend();
+			progress.attemptEnded(AttemptEnd.BROKEN);
+			assertThat(progress.mayRetry()).isFalse();
 		}
 
 		@Test
 		void attemptThatSentNothingDoesNotMakeTheNextOneARetry() {
 			RequestProgress progress = sent(RequestKind.SAFE, false, AttemptEnd.NOT_SENT);
-			assertThat(progress.isRepeat()).isFalse();
+			assertThat(progress.isRetry()).isFalse();
 		}
 
 	}
@@ -124,21 +124,21 @@
 		@Test
 		void resumableStreamIsRetriedAfterPartOfItWasForwarded() {
 			RequestProgress progress = new RequestProgress(route(RequestKind.STREAM, true, 2));
-			progress.begin("a");
-			progress.sent();
-			progress.passedOn();
-			progress.ended(AttemptEnd.BROKEN);
-			assertThat(progress.mayTryAgain()).isTrue();
+			progress.attemptStarted("a");
+			progress.beforeSend();
+			progress.responseForwarded();
+			progress.attemptEnded(AttemptEnd.BROKEN);
+			assertThat(progress.mayRetry()).isTrue();
 		}
 
 		@Test
 		void nonResumableStreamIsNotRetriedAfterPartOfItWasForwarded() {
 			RequestProgress progress = new RequestProgress(route(RequestKind.STREAM, false, 2));
-			progress.begin("a");
-			progress.sent();
-			progress.passedOn();
-			progress.ended(AttemptEnd.BROKEN);
-			assertThat(progress.mayTryAgain()).isFalse();
+			progress.attemptStarted("a");
+			progress.beforeSend();
+			progress.responseForwarded();
+			progress.attemptEnded(AttemptEnd.BROKEN);
+			assertThat(progress.mayRetry()).isFalse();
 		}
 
 	}
--- a/core/src/test/java/org/acaciacourse/core/balance/BalancerTestBase.java
+++ b/core/src/test/java/org/acaciacourse/core/balance/BalancerTestBase.java
@@ -43,12 +43,12 @@
 	}
 
 	static PlacedRequest begin(PoolBalancer balancer, String instance, PromptShape shape) {
-		return balancer.begin(instance, new Placement(shape, true, false, 0, Set.of()), Turn.AFTER_OTHERS, 0);
+		return balancer.begin(instance, new Placement(shape, true, false, 0, Set.of()), QueuePosition.BEHIND_OTHERS, 0);
 	}
 
 	PlacedRequest beginBrief(String instance) {
 		return this.balancer.begin(instance, new Placement(PromptShape.NONE, false, true, 0, Set.of()),
-				Turn.AFTER_OTHERS, 0);
+				QueuePosition.BEHIND_OTHERS, 0);
 	}
 
 }
--- a/core/src/test/java/org/acaciacourse/core/balance/ChoiceSampleTests.java
+++ b/core/src/test/java/org/acaciacourse/core/balance/CandidateSamplerTests.java
@@ -17,7 +17,7 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
-class ChoiceSampleTests extends BalancerTestBase {
+class CandidateSamplerTests extends BalancerTestBase {
 
 	private static final long MILLI = 1_000_000;
 
@@ -96,7 +96,7 @@
 				Placement request = new Placement(new PromptShape(500, 1, List.of()), false, true, i, Set.of());
 				long at = 25_000 * MILLI + i * 10 * MILLI;
 				String instance = balancer.choose(request, at).map(FleetEndpoint::instance).orElseThrow();
-				balancer.begin(instance, request, Turn.AFTER_OTHERS, at).end(Outcome.GOOD, at);
+				balancer.begin(instance, request, QueuePosition.BEHIND_OTHERS, at).end(Outcome.GOOD, at);
 				chosen.merge(instance, 1, Integer::sum);
 			}
 			assertThat(chosen).hasSize(24);
@@ -142,7 +142,7 @@
 		}
 
 		private void sendDigests(int from, long at, long number) {
-			List<PeerLoads.Load> loads = this.balancers.get(from).own();
+			List<PeerLoads.Load> loads = this.balancers.get(from).localLoads();
 			for (int to = 0; to < ENTRY_VMS; to++) {
 				if (to != from) {
 					this.peers.get(to).receive("vm" + from, number, loads, at);
@@ -153,8 +153,8 @@
 		private void send(PoolBalancer balancer, long salt, long at) {
 			Placement request = new Placement(PromptShape.NONE, false, false, salt, Set.of());
 			String instance = balancer.choose(request, at).map(FleetEndpoint::instance).orElseThrow();
-			this.runs
-				.add(new Run(balancer.begin(instance, request, Turn.AFTER_OTHERS, at), instance, at + 3_000 * MILLI));
+			this.runs.add(new Run(balancer.begin(instance, request, QueuePosition.BEHIND_OTHERS, at), instance,
+					at + 3_000 * MILLI));
 			if (this.running.merge(instance, 1, Integer::sum) > SLOTS) {
 				this.waiting++;
 			}
--- a/core/src/test/java/org/acaciacourse/core/balance/ColdBurstTests.java
+++ b/core/src/test/java/org/acaciacourse/core/balance/ColdBurstTests.java
@@ -73,7 +73,7 @@
 			PeerLoads loads = new PeerLoads();
 			PoolBalancer next = new PoolBalancer(loads, (instance) -> true);
 			next.endpoints(endpoints(ENGINES));
-			next.engineTokens(2 * CACHE_FOR_PARTS);
+			next.engineCacheTokens(2 * CACHE_FOR_PARTS);
 			next.policy(policy);
 			this.peerLoads.add(loads);
 			this.balancers.add(next);
@@ -82,12 +82,12 @@
 	}
 
 	private void sendDigests(int from, long at, long number) {
-		List<PeerLoads.Load> loads = this.balancers.get(from).own();
-		List<PartUse> uses = this.balancers.get(from).takeUntold();
+		List<PeerLoads.Load> loads = this.balancers.get(from).localLoads();
+		List<PartUse> uses = this.balancers.get(from).drainUnreportedUses();
 		for (int to = 0; to < ENTRY_VMS; to++) {
 			if (to != from) {
 				this.peerLoads.get(to).receive("vm" + from, number, loads, at);
-				uses.forEach(this.balancers.get(to)::told);
+				uses.forEach(this.balancers.get(to)::recordPeerUse);
 			}
 		}
 	}
@@ -97,7 +97,7 @@
 				List.of(new PromptShape.Part(topic, SHARED_TOKENS), new PromptShape.Part(own, OWN_TOKENS)));
 		Placement request = new Placement(shape, true, false, own, Set.of());
 		String instance = entry.choose(request, at).map(FleetEndpoint::instance).orElseThrow();
-		PlacedRequest placed = entry.begin(instance, request, Turn.AFTER_OTHERS, at);
+		PlacedRequest placed = entry.begin(instance, request, QueuePosition.BEHIND_OTHERS, at);
 		long doneAt = this.engines.get(instance).prefill(topic, shape, at);
 		this.prefills.add(new Prefill(placed, at, doneAt));
 		this.requests++;
--- a/core/src/test/java/org/acaciacourse/core/balance/HomesTests.java
+++ b/core/src/test/java/org/acaciacourse/core/balance/HomeEndpointsTests.java
@@ -12,7 +12,7 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
-class HomesTests extends BalancerTestBase {
+class HomeEndpointsTests extends BalancerTestBase {
 
 	private static final int ENGINES = 13;
 
@@ -34,7 +34,8 @@
 
 	@Test
 	void thereIsNoSecondaryHomeWhenSwitchedOff() {
-		HomesTests.this.balancer.policy(new RoutingPolicy("one-home", Set.of(RoutingMechanism.SECOND_HOME), Map.of()));
+		HomeEndpointsTests.this.balancer
+			.policy(new RoutingPolicy("one-home", Set.of(RoutingMechanism.SECOND_HOME), Map.of()));
 		queueAtPrimary(20_000);
 		assertThat(choose(prompt(1), 1, Set.of(), 0)).isEqualTo(Optional.of(this.primary));
 	}
@@ -51,10 +52,10 @@
 		void isPrefilledAtTheSameSecondaryByAllEntryVms() {
 			queueAtPrimary(20_000);
 			String second = choose(prompt(1), 1, Set.of(), 0).get();
-			assertThat(second).isNotEqualTo(HomesTests.this.primary);
+			assertThat(second).isNotEqualTo(HomeEndpointsTests.this.primary);
 			PoolBalancer other = new PoolBalancer(new PeerLoads(), (instance) -> true);
 			other.endpoints(endpoints(ENGINES));
-			begin(other, HomesTests.this.primary, new PromptShape(40_000, 1, List.of()));
+			begin(other, HomeEndpointsTests.this.primary, new PromptShape(40_000, 1, List.of()));
 			for (int salt = 0; salt < 20; salt++) {
 				Placement request = new Placement(prompt(1), true, false, salt, Set.of());
 				assertThat(other.choose(request, 0).map(FleetEndpoint::instance)).isEqualTo(Optional.of(second));
@@ -64,7 +65,7 @@
 		@Test
 		void staysAtThePrimaryWhenItsQueueIsShort() {
 			queueAtPrimary(3_000);
-			assertThat(choose(prompt(1), 1, Set.of(), 0)).isEqualTo(Optional.of(HomesTests.this.primary));
+			assertThat(choose(prompt(1), 1, Set.of(), 0)).isEqualTo(Optional.of(HomeEndpointsTests.this.primary));
 		}
 
 	}
@@ -76,14 +77,14 @@
 		void staysAtThePrimaryWhenItsQueueCostsLessThanRecomputing() {
 			prefillAtPrimary();
 			queueAtPrimary(30_000);
-			assertThat(choose(prompt(1), 1, Set.of(), 0)).isEqualTo(Optional.of(HomesTests.this.primary));
+			assertThat(choose(prompt(1), 1, Set.of(), 0)).isEqualTo(Optional.of(HomeEndpointsTests.this.primary));
 		}
 
 		@Test
 		void isPrefilledAgainWhenThePrimaryQueueIsLong() {
 			prefillAtPrimary();
 			queueAtPrimary(60_000);
-			assertThat(choose(prompt(1), 1, Set.of(), 0)).isNotEqualTo(Optional.of(HomesTests.this.primary));
+			assertThat(choose(prompt(1), 1, Set.of(), 0)).isNotEqualTo(Optional.of(HomeEndpointsTests.this.primary));
 		}
 
 		/*
--- a/core/src/test/java/org/acaciacourse/core/balance/LoadExchangeTests.java
+++ b/core/src/test/java/org/acaciacourse/core/balance/LoadExchangeTests.java
@@ -79,7 +79,7 @@
 		}
 
 		private void tick(Vm vm) {
-			vm.nextTick = this.now + vm.exchange.pauseMillis() * MILLI;
+			vm.nextTick = this.now + vm.exchange.intervalMillis() * MILLI;
 			for (LoadExchange.Outgoing message : vm.exchange.tick(vm.own, vm.takeUses(), this.now)) {
 				message.receivers().forEach((to) -> send(vm, to, message.digest()));
 			}
@@ -99,7 +99,7 @@
 				Packet packet = this.inTransit.poll();
 				if (!packet.to().down && !packet.to().deaf && !packet.to().frozen) {
 					packet.to().received++;
-					if (packet.to().exchange.take(packet.from().self.address(), packet.digest(), this.now)) {
+					if (packet.to().exchange.receive(packet.from().self.address(), packet.digest(), this.now)) {
 						packet.to().receivedUses.addAll(packet.digest().uses());
 					}
 				}
@@ -181,7 +181,7 @@
 		Vm(int index, long now) {
 			this.self = new LoadPeer("10.0." + index / 250 + "." + index % 250 + ":1", "dc-" + index % DATA_CENTRES);
 			this.exchange = new LoadExchange(this.self, this.loads, now, now);
-			this.exchange.mostDirect(MAX_DIRECT_PEERS);
+			this.exchange.maxDirectPeers(MAX_DIRECT_PEERS);
 			this.nextTick = now + index % 100 * MILLI;
 		}
 
@@ -355,17 +355,17 @@
 
 		@Test
 		void olderDigestDoesNotReplaceANewerOne() {
-			assertThat(this.exchange.take("b:1", summary(5, this.some), 0)).isTrue();
-			assertThat(this.exchange.take("b:1", summary(5, List.of()), 1)).isFalse();
-			assertThat(this.exchange.take("b:1", summary(4, List.of()), 2)).isFalse();
+			assertThat(this.exchange.receive("b:1", summary(5, this.some), 0)).isTrue();
+			assertThat(this.exchange.receive("b:1", summary(5, List.of()), 1)).isFalse();
+			assertThat(this.exchange.receive("b:1", summary(4, List.of()), 2)).isFalse();
 			assertThat(this.loads.all()).isEqualTo(this.some);
 		}
 
 		@Test
 		void viewOfAVmThatIsNotTheOwnRelayIsDropped() {
 			LoadDigest view = LoadDigest.of(LoadDigest.Kind.VIEW, 5, 9, this.some, List.of());
-			assertThat(this.exchange.take("b:1", view, 0)).isFalse();
-			assertThat(this.loads.isTold()).isFalse();
+			assertThat(this.exchange.receive("b:1", view, 0)).isFalse();
+			assertThat(this.loads.hasReports()).isFalse();
 		}
 
 		private LoadDigest summary(long sequence, List<PeerLoads.Load> loads) {
--- a/core/src/test/java/org/acaciacourse/core/balance/MixedPlacementTests.java
+++ b/core/src/test/java/org/acaciacourse/core/balance/MixedPlacementTests.java
@@ -133,7 +133,7 @@
 			for (int i = 0; i < 100; i++) {
 				PlacedRequest urgent = MixedPlacementTests.this.balancer.begin("i0",
 						new Placement(new PromptShape(2_000, 1, List.of()), true, false, i, Set.of()),
-						Turn.BEFORE_OTHERS, 0);
+						QueuePosition.OVERTAKES_OTHERS, 0);
 				urgent.streamBegan(200_000_000L);
 				urgent.end(Outcome.GOOD, 0);
 			}
@@ -145,8 +145,8 @@
 			MixedPlacementTests.this.balancer.endpoints(endpoints(1));
 			PromptShape large = new PromptShape(40_000, 1, List.of());
 			PlacedRequest deferred = MixedPlacementTests.this.balancer.begin("i0",
-					new Placement(large, true, false, 0, Set.of()), Turn.DEFERRED, 0);
-			assertThat(deferred.belief(0).waitingWork()).isEqualTo(0);
+					new Placement(large, true, false, 0, Set.of()), QueuePosition.DEFERRED, 0);
+			assertThat(deferred.estimate(0).waitingWork()).isEqualTo(0);
 			assertThat(deferred.waitingWork()).isEqualTo(large.work(0));
 			assertThat(MixedPlacementTests.this.balancer.isLate("i0", prompt(1), TARGET)).isFalse();
 			deferred.streamBegan(1);
--- a/core/src/test/java/org/acaciacourse/core/balance/PoolBalancerTests.java
+++ b/core/src/test/java/org/acaciacourse/core/balance/PoolBalancerTests.java
@@ -106,15 +106,15 @@
 		@Test
 		void partCachedThroughAnotherEntryVmIsUsed() {
 			String second = placeOnSecondEndpoint();
-			PoolBalancerTests.this.balancer.takeUntold().forEach(this.other::told);
+			PoolBalancerTests.this.balancer.drainUnreportedUses().forEach(this.other::recordPeerUse);
 			assertThat(chooseAtOther(5)).isEqualTo(Optional.of(second));
-			assertThat(PoolBalancerTests.this.balancer.takeUntold()).isEmpty();
+			assertThat(PoolBalancerTests.this.balancer.drainUnreportedUses()).isEmpty();
 		}
 
 		@Test
 		void partIsPrefilledAtItsHomeOnceTheHolderIsBusy() {
 			String second = placeOnSecondEndpoint();
-			PoolBalancerTests.this.balancer.takeUntold().forEach(this.other::told);
+			PoolBalancerTests.this.balancer.drainUnreportedUses().forEach(this.other::recordPeerUse);
 			begin(this.other, second, new PromptShape(30_000, 1, List.of()));
 			assertThat(chooseAtOther(5)).isNotEqualTo(Optional.of(second));
 			assertThat(chooseAtOther(6)).isEqualTo(chooseAtOther(5));
@@ -123,7 +123,7 @@
 		@Test
 		void engineThatRefusedConnectionsIsAssumedEmpty() {
 			String second = placeOnSecondEndpoint();
-			PoolBalancerTests.this.balancer.takeUntold().forEach(this.other::told);
+			PoolBalancerTests.this.balancer.drainUnreportedUses().forEach(this.other::recordPeerUse);
 			begin(this.other, second, PromptShape.NONE).end(Outcome.GONE, 0);
 			assertThat(this.other.choose(new Placement(prompt(1), true, false, 5, Set.of()), 10 * SECOND)
 				.map(FleetEndpoint::instance)).isNotEqualTo(Optional.of(second));
@@ -135,7 +135,7 @@
 			for (long id = 1; id <= 1_000; id++) {
 				begin("i0", prompt(id));
 			}
-			assertThat(PoolBalancerTests.this.balancer.takeUntold().size()).isAtMost(64);
+			assertThat(PoolBalancerTests.this.balancer.drainUnreportedUses().size()).isAtMost(64);
 		}
 
 	}
@@ -199,7 +199,7 @@
 		private PlacedRequest streamAt(String instance) {
 			PlacedRequest stream = begin(instance, PromptShape.NONE);
 			stream.streamBegan(1);
-			stream.heard(0);
+			stream.recordActivity(0);
 			this.other = begin((instance.equals("i0")) ? "i1" : "i0", PromptShape.NONE);
 			return stream;
 		}
@@ -211,7 +211,7 @@
 			PlacedRequest stream = streamAt(first);
 			assertThat(chosen(300 * MILLI)).isEqualTo(first);
 			assertThat(chosen(500 * MILLI)).isNotEqualTo(first);
-			stream.heard(510 * MILLI);
+			stream.recordActivity(510 * MILLI);
 			assertThat(chosen(520 * MILLI)).isEqualTo(first);
 		}
 
@@ -273,8 +273,8 @@
 			PoolBalancerTests.this.peers.receive("b", 2, List.of(second), 0);
 			PoolBalancerTests.this.peers.receive("b", 1, List.of(first), 0);
 			assertThat(choose(PromptShape.NONE, 1, Set.of(), 0)).isEqualTo(Optional.of("i0"));
-			PoolBalancerTests.this.peers.forgetSilent(2 * SECOND);
-			assertThat(PoolBalancerTests.this.peers.isTold()).isFalse();
+			PoolBalancerTests.this.peers.expireSilent(2 * SECOND);
+			assertThat(PoolBalancerTests.this.peers.hasReports()).isFalse();
 			begin("i0", PromptShape.NONE);
 			assertThat(choose(PromptShape.NONE, 1, Set.of(), 2 * SECOND)).isEqualTo(Optional.of("i1"));
 		}
@@ -305,7 +305,7 @@
 		@Test
 		void connectionsOfOneEndpointAreBounded() {
 			PoolBalancerTests.this.balancer.endpoints(endpoints(1));
-			PoolBalancerTests.this.balancer.connectionsEach(1);
+			PoolBalancerTests.this.balancer.maxConnectionsPerEndpoint(1);
 			begin("i0", PromptShape.NONE);
 			assertThat(choose(PromptShape.NONE, 1, Set.of(), 0)).isEqualTo(Optional.empty());
 		}
--- a/core/src/test/java/org/acaciacourse/core/balance/ReadingPaceTests.java
+++ b/core/src/test/java/org/acaciacourse/core/balance/PrefillRateTests.java
@@ -5,7 +5,7 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
-class ReadingPaceTests {
+class PrefillRateTests {
 
 	private static final long MILLI = 1_000_000L;
 
--- a/core/src/test/java/org/acaciacourse/core/balance/PromptMemoryTests.java
+++ b/core/src/test/java/org/acaciacourse/core/balance/PrefixCacheModelTests.java
@@ -7,7 +7,7 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
-class PromptMemoryTests {
+class PrefixCacheModelTests {
 
 	private static final PromptShape.Part TEMPLATE = new PromptShape.Part(1, 2_000);
 
--- a/core/src/test/java/org/acaciacourse/core/balance/RetryFleet.java
+++ b/core/src/test/java/org/acaciacourse/core/balance/RetryFleet.java
@@ -9,7 +9,7 @@
 import java.util.Random;
 import java.util.TreeMap;
 
-import org.acaciacourse.core.measure.RetryWindows;
+import org.acaciacourse.core.measure.RetryBudgetChecker;
 
 /**
  * Simulates entry VMs that share one retry budget: callers, endpoints that refuse,
@@ -41,7 +41,7 @@
 
 	private final Map<Integer, Long> polled = new HashMap<>();
 
-	private final RetryWindows windows;
+	private final RetryBudgetChecker windows;
 
 	private long now;
 
@@ -57,7 +57,7 @@
 
 	RetryFleet(Rule rule, int vms, long seed) {
 		this.rule = rule;
-		this.windows = new RetryWindows(rule.window(), rule.ratio(), rule.minimum());
+		this.windows = new RetryBudgetChecker(rule.window(), rule.ratio(), rule.minimum());
 		this.random = new Random(seed);
 		for (int vm = 0; vm < vms; vm++) {
 			start(vm);
@@ -135,7 +135,7 @@
 	}
 
 	private void request() {
-		this.windows.request(this.now);
+		this.windows.addRequest(this.now);
 		List<Entry> serving = this.entries.values().stream().filter((entry) -> !entry.isFrozen()).toList();
 		if (serving.isEmpty()) {
 			return;
@@ -149,7 +149,7 @@
 	 * @return the counts in it
 	 */
 	Optional<String> excess() {
-		return this.windows.excess();
+		return this.windows.findViolation();
 	}
 
 	/**
@@ -211,7 +211,7 @@
 		private void poll(long at) {
 			RetryFleet.this.polled.put(this.vm, at);
 			RetryFleet.this.polled.values().removeIf((last) -> at - last > POLL_TIMEOUT);
-			this.sharers.told(RetryFleet.this.polled.size(), at);
+			this.sharers.update(RetryFleet.this.polled.size(), at);
 		}
 
 		private void serve() {
@@ -232,7 +232,7 @@
 
 		private void send(long at) {
 			if (this.allowance.spend(at)) {
-				RetryFleet.this.windows.retry(at);
+				RetryFleet.this.windows.addRetry(at);
 			}
 		}
 
--- a/core/src/test/java/org/acaciacourse/core/balance/RoutingPolicyTests.java
+++ b/core/src/test/java/org/acaciacourse/core/balance/RoutingPolicyTests.java
@@ -50,10 +50,10 @@
 		this.balancer.endpoints(endpoints(2));
 		policy(RoutingMechanism.PARTS_TOLD);
 		begin("i0", prompt(1));
-		assertThat(this.balancer.takeUntold()).isEmpty();
+		assertThat(this.balancer.drainUnreportedUses()).isEmpty();
 		policy();
 		begin("i0", prompt(1));
-		assertThat(this.balancer.takeUntold()).isNotEmpty();
+		assertThat(this.balancer.drainUnreportedUses()).isNotEmpty();
 	}
 
 	@Test
@@ -124,7 +124,7 @@
 		String first = choose(PromptShape.NONE, 1, Set.of(), 0).get();
 		PlacedRequest stream = begin(first, PromptShape.NONE);
 		stream.streamBegan(1);
-		stream.heard(0);
+		stream.recordActivity(0);
 		begin((first.equals("i0")) ? "i1" : "i0", PromptShape.NONE);
 		assertThat(choose(PromptShape.NONE, 1, Set.of(), SECOND)).isNotEqualTo(Optional.of(first));
 		policy(RoutingMechanism.SUSPECTS);
--- a/core/src/test/java/org/acaciacourse/core/balance/SharerCountTests.java
+++ b/core/src/test/java/org/acaciacourse/core/balance/SharerCountTests.java
@@ -16,7 +16,7 @@
 	// Control sends the count once a second.
 	private void receive(int number, int fromSecond, int toSecond) {
 		for (int second = fromSecond; second <= toSecond; second++) {
-			this.count.told(number, second * SECOND);
+			this.count.update(number, second * SECOND);
 		}
 	}
 
--- a/core/src/test/java/org/acaciacourse/core/consensus/ExplorationTests.java
+++ b/core/src/test/java/org/acaciacourse/core/consensus/ExplorationTests.java
@@ -162,7 +162,7 @@
 			assertThat(this.cluster.isRepaired()).isTrue();
 			this.cluster.loseDisk(second);
 			this.cluster.runFor(1_000);
-			assertThat(this.cluster.leader().state.number()).isEqualTo(this.manifestNumber);
+			assertThat(this.cluster.leader().state.manifestNumber()).isEqualTo(this.manifestNumber);
 		}
 
 		@Test
@@ -176,7 +176,7 @@
 			assertThat(this.cluster.leader()).isNull();
 			this.cluster.restart(second);
 			this.cluster.runFor(1_000);
-			assertThat(this.cluster.leader().state.number()).isEqualTo(this.manifestNumber);
+			assertThat(this.cluster.leader().state.manifestNumber()).isEqualTo(this.manifestNumber);
 		}
 
 		@Test
@@ -233,7 +233,7 @@
 					cluster.loseDisk(cluster.randomNode());
 					cluster.loseDisk(cluster.randomNode());
 					awaitRepair(cluster);
-					assertThat(cluster.leader().state.number()).isAtLeast(acknowledged);
+					assertThat(cluster.leader().state.manifestNumber()).isAtLeast(acknowledged);
 				}
 			}
 		}
--- a/core/src/test/java/org/acaciacourse/core/consensus/History.java
+++ b/core/src/test/java/org/acaciacourse/core/consensus/History.java
@@ -72,7 +72,8 @@
 				this.highestFencingIndex = index;
 			}
 		}
-		String content = result.code() + " " + state.number() + " " + state.digest() + " " + state.time();
+		String content = result.code() + " " + state.manifestNumber() + " " + state.manifestDigest() + " "
+				+ state.time();
 		String previous = this.results.putIfAbsent(index, content);
 		check(previous == null || previous.equals(content), "replicas disagree on the result of entry " + index);
 		if (previous == null && result instanceof ClaimResult claim) {
--- a/core/src/test/java/org/acaciacourse/core/consensus/LossSequenceTests.java
+++ b/core/src/test/java/org/acaciacourse/core/consensus/LossSequenceTests.java
@@ -38,7 +38,7 @@
 		long acknowledged = run.cluster.history.acknowledgedNumber();
 		run.awaitRepair();
 		History.checkProgress(run.cluster.isRepaired(), run.actions + run.cluster.describe());
-		assertThat(run.cluster.leader().state.number()).isAtLeast(acknowledged);
+		assertThat(run.cluster.leader().state.manifestNumber()).isAtLeast(acknowledged);
 	}
 
 	private static List<String> failures(boolean recoverFirst) {
--- a/core/src/test/java/org/acaciacourse/core/consensus/MembershipManagerTests.java
+++ b/core/src/test/java/org/acaciacourse/core/consensus/MembershipManagerTests.java
@@ -29,7 +29,7 @@
 	}
 
 	private Optional<Membership> next(Membership current, long commitIndex, ToLongFunction<ReplicaId> matchIndex) {
-		return this.manager.next(current, true, commitIndex, matchIndex,
+		return this.manager.nextMembership(current, true, commitIndex, matchIndex,
 				(id) -> id.equals(A.id()) || id.equals(C.id()));
 	}
 
@@ -39,7 +39,7 @@
 		// membership and must neither leave the replacement unfinished nor promote a
 		// learner too early.
 		Membership current = new Membership(List.of(A, B, C));
-		this.manager.join(LEARNER_B);
+		this.manager.addJoinRequest(LEARNER_B);
 		current = next(current, 10, (id) -> 0).orElseThrow();
 		assertThat(current.members()).containsExactly(A, B, C, LEARNER_B);
 		this.manager.leadershipLost();
@@ -71,7 +71,7 @@
 	@Test
 	void learnerThatLostItsDiskAgainIsRemoved() {
 		Membership current = new Membership(List.of(A, B, C, LEARNER_B));
-		this.manager.join(member(6, "b", false));
+		this.manager.addJoinRequest(member(6, "b", false));
 		assertThat(next(current, 10, (id) -> 0)).isEqualTo(Optional.of(new Membership(List.of(A, B, C))));
 	}
 
@@ -80,8 +80,8 @@
 		// Both processes keep asking to join. If each replaced the other, the log would
 		// fill with membership changes and neither would ever catch up.
 		Membership current = new Membership(List.of(A, C, LEARNER_B));
-		this.manager.join(member(6, "b", false));
-		assertThat(this.manager.next(current, true, 10, (id) -> 0, (id) -> true)).isEqualTo(Optional.empty());
+		this.manager.addJoinRequest(member(6, "b", false));
+		assertThat(this.manager.nextMembership(current, true, 10, (id) -> 0, (id) -> true)).isEqualTo(Optional.empty());
 	}
 
 	// Guards against a dead voter that is never removed. A VM is replaced permanently by
@@ -123,7 +123,7 @@
 			MembershipManager leader = new MembershipManager();
 			leader.observe(full, (id) -> !absent.contains(id), 0);
 			leader.observe(full, (id) -> !absent.contains(id), MembershipManager.MAX_ABSENCE_NANOS);
-			Optional<Membership> next = leader.next(full, true, 10, (id) -> 10, (id) -> !absent.contains(id));
+			Optional<Membership> next = leader.nextMembership(full, true, 10, (id) -> 10, (id) -> !absent.contains(id));
 			assertThat(next).isEqualTo(Optional.of(full.without(new ReplicaId(first + 1))));
 		}
 	}
@@ -143,7 +143,8 @@
 				this.manager.observe(full, (id) -> !id.equals(first.id()) && !id.equals(second.id()),
 						2 * MembershipManager.MAX_ABSENCE_NANOS);
 				Membership without = this.manager
-					.next(full, true, 10, (id) -> 10, (id) -> !id.equals(first.id()) && !id.equals(second.id()))
+					.nextMembership(full, true, 10, (id) -> 10,
+							(id) -> !id.equals(first.id()) && !id.equals(second.id()))
 					.orElseThrow();
 				assertThat(without).isEqualTo(full.without(first.id()));
 			}
@@ -166,25 +167,26 @@
 	// until one of them returned.
 	@Test
 	void joiningReplicaHasItsFinalRoleOnlyAsAVoter() {
-		assertThat(MembershipManager.isSettled(new Membership(List.of(A, B, C)), LEARNER_B.id())).isFalse();
-		assertThat(MembershipManager.isSettled(new Membership(List.of(A, B, C, LEARNER_B)), LEARNER_B.id())).isFalse();
+		assertThat(MembershipManager.hasFinalRole(new Membership(List.of(A, B, C)), LEARNER_B.id())).isFalse();
+		assertThat(MembershipManager.hasFinalRole(new Membership(List.of(A, B, C, LEARNER_B)), LEARNER_B.id()))
+			.isFalse();
 		Membership removed = new Membership(List.of(A, C, LEARNER_B));
-		assertThat(MembershipManager.isSettled(removed, LEARNER_B.id())).isFalse();
+		assertThat(MembershipManager.hasFinalRole(removed, LEARNER_B.id())).isFalse();
 		Membership promoted = removed.with(member(4, "b", true));
-		assertThat(MembershipManager.isSettled(promoted, LEARNER_B.id())).isTrue();
+		assertThat(MembershipManager.hasFinalRole(promoted, LEARNER_B.id())).isTrue();
 	}
 
 	@Test
 	void spareLearnerHasItsFinalRole() {
 		Member spare = member(9, "f", false);
 		Membership full = new Membership(List.of(A, B, C, member(7, "d", true), member(8, "e", true), spare));
-		assertThat(MembershipManager.isSettled(full, spare.id())).isTrue();
+		assertThat(MembershipManager.hasFinalRole(full, spare.id())).isTrue();
 		Membership replaced = full.with(LEARNER_B);
-		assertThat(MembershipManager.isSettled(replaced, LEARNER_B.id())).isFalse();
+		assertThat(MembershipManager.hasFinalRole(replaced, LEARNER_B.id())).isFalse();
 	}
 
 	private Optional<Membership> nextWithoutB(Membership current) {
-		return this.manager.next(current, true, 10, (id) -> 10, (id) -> !id.equals(B.id()));
+		return this.manager.nextMembership(current, true, 10, (id) -> 10, (id) -> !id.equals(B.id()));
 	}
 
 }
--- a/core/src/test/java/org/acaciacourse/core/consensus/ReplicaTests.java
+++ b/core/src/test/java/org/acaciacourse/core/consensus/ReplicaTests.java
@@ -77,7 +77,7 @@
 			// overwrite it (figure 8 of the Raft paper).
 			Replica replica = leader(2);
 			replica.receive(new AppendReply(B.id(), 2, true, 2, 1), 203);
-			replica.durable(3, 2, 204);
+			replica.entriesPersisted(3, 2, 204);
 			assertThat(replica.status().commitIndex()).isEqualTo(0);
 			replica.receive(new AppendReply(B.id(), 2, true, 3, 1), 205);
 			assertThat(replica.status().commitIndex()).isEqualTo(3);
@@ -90,11 +90,11 @@
 			// would lose it.
 			Replica replica = start(RecoveredLog.bootstrap(A));
 			replica.tick(200);
-			replica.durable(2, 2, 201);
+			replica.entriesPersisted(2, 2, 201);
 			long index = replica.propose(1, new byte[1], 202);
-			replica.durable(index - 1, 2, 203);
+			replica.entriesPersisted(index - 1, 2, 203);
 			assertThat(replica.status().commitIndex()).isEqualTo(index - 1);
-			replica.durable(index, 2, 204);
+			replica.entriesPersisted(index, 2, 204);
 			assertThat(replica.status().commitIndex()).isEqualTo(index);
 		}
 
@@ -171,7 +171,7 @@
 			// A leader that was frozen does not know that another leader commits entries.
 			// A reply to a round that started before the read must not confirm the read.
 			Replica replica = leader(1);
-			replica.durable(2, 2, 203);
+			replica.entriesPersisted(2, 2, 203);
 			replica.receive(new AppendReply(B.id(), 2, true, 2, 1), 204);
 			replica.read(7, 205);
 			replica.receive(new AppendReply(C.id(), 2, true, 2, 1), 206);
@@ -219,7 +219,7 @@
 		}
 
 		@Override
-		public void failed(long id) {
+		public void operationFailed(long id) {
 		}
 
 		@Override
--- a/core/src/test/java/org/acaciacourse/core/consensus/ReturningVmTests.java
+++ b/core/src/test/java/org/acaciacourse/core/consensus/ReturningVmTests.java
@@ -96,7 +96,7 @@
 				this.cluster.loseDisk(first);
 				this.cluster.loseDisk(randomNodeExcept(this.cluster, this.cluster.nodes.get(first.vm)));
 				awaitRepair(this.cluster);
-				assertThat(this.cluster.leader().state.number()).isAtLeast(acknowledged);
+				assertThat(this.cluster.leader().state.manifestNumber()).isAtLeast(acknowledged);
 			}
 		}
 
--- a/core/src/test/java/org/acaciacourse/core/consensus/SimulatedCluster.java
+++ b/core/src/test/java/org/acaciacourse/core/consensus/SimulatedCluster.java
@@ -200,8 +200,8 @@
 		TreeMap<String, java.util.SortedMap<String, String>> sections = new TreeMap<>();
 		sections.put("a", new TreeMap<>(Map.of("k", Long.toString(nextNumber()))));
 		ManifestDocument next = new ManifestDocument(sections);
-		ManifestDocument base = node.state.document();
-		Command put = new Command.PutManifest(node.proposedAt(), node.state.number() + this.random.nextInt(2),
+		ManifestDocument base = node.state.manifestDocument();
+		Command put = new Command.PutManifest(node.proposedAt(), node.state.manifestNumber() + this.random.nextInt(2),
 				next.digest(), base.digest(), base.deltaTo(next), "operator");
 		node.propose(put, (result) -> this.history.acknowledged(result, node.appliedIndex));
 	}
@@ -247,7 +247,7 @@
 		long index = this.history.acknowledgedIndex();
 		node.read(() -> {
 			History.check(node.appliedIndex >= index, "stale linearizable read: entry " + index + " is not applied");
-			History.check(node.state.number() >= number,
+			History.check(node.state.manifestNumber() >= number,
 					"stale linearizable read: manifest " + number + " is not applied");
 		});
 	}
--- a/core/src/test/java/org/acaciacourse/core/consensus/SimulatedNode.java
+++ b/core/src/test/java/org/acaciacourse/core/consensus/SimulatedNode.java
@@ -108,7 +108,7 @@
 			this.manager.observe(this.replica.membership(), (member) -> this.replica.isInContact(member, monotonic()),
 					monotonic());
 			this.manager
-				.next(this.replica.membership(), this.replica.isMembershipCommitted(),
+				.nextMembership(this.replica.membership(), this.replica.isMembershipCommitted(),
 						this.replica.status().commitIndex(), this.replica::matchIndex,
 						(member) -> this.replica.isInContact(member, monotonic()))
 				.ifPresent((next) -> this.replica.changeMembership(-this.cluster.nextNumber(), next, monotonic()));
@@ -117,11 +117,11 @@
 			Member joiner = new Member(this.id, this.vm, this.vm, false);
 			this.cluster.call(this.vm, this.cluster.randomNode(), (node) -> {
 				if (node.replica.isLeader()) {
-					node.manager.join(joiner);
+					node.manager.addJoinRequest(joiner);
 				}
 			});
 		}
-		this.leaseHolder.request(monotonic()).ifPresent((request) -> this.cluster.acquireLease(this, request));
+		this.leaseHolder.requestIfDue(monotonic()).ifPresent((request) -> this.cluster.acquireLease(this, request));
 	}
 
 	void propose(Command command, Consumer<CommandResult> done) {
@@ -159,7 +159,7 @@
 		this.outbox.clear();
 		this.votePending = false;
 		if (!dirty || !this.cluster.crashAtRandom(this, 5 * weight)) {
-			this.replica.durable(index, term, monotonic());
+			this.replica.entriesPersisted(index, term, monotonic());
 		}
 	}
 
@@ -172,7 +172,7 @@
 		Snapshot snapshot = new Snapshot(this.appliedIndex, this.appliedTerm,
 				this.replica.membershipAt(this.appliedIndex), key);
 		this.disk.compact(snapshot);
-		this.replica.compacted(snapshot);
+		this.replica.snapshotPersisted(snapshot);
 	}
 
 	@Override
@@ -224,7 +224,7 @@
 	}
 
 	@Override
-	public void failed(long number) {
+	public void operationFailed(long number) {
 		this.proposals.remove(number);
 		this.reads.remove(number);
 	}
--- a/core/src/test/java/org/acaciacourse/core/delivery/AnswerSequenceTests.java
+++ b/core/src/test/java/org/acaciacourse/core/delivery/ResponseTokenSequenceTests.java
@@ -8,34 +8,34 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
-import org.acaciacourse.core.delivery.AnswerSequence.Verdict;
+import org.acaciacourse.core.delivery.ResponseTokenSequence.Verdict;
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
 
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * Tests for {@link AnswerSequence}.
+ * Tests for {@link ResponseTokenSequence}.
  */
-class AnswerSequenceTests {
+class ResponseTokenSequenceTests {
 
 	// The stream breaks several times, and each following attempt starts at or before the
 	// first missing token. The client must receive 0, 1, 2, ... without gaps or repeats.
 	@Property(tries = 2_000, seed = "4712")
 	void forwardsEachTokenOnceAndInOrder(
 			@ForAll @Size(max = 6) List<@IntRange(min = 0, max = 30) Integer> attemptLengths) {
-		AnswerSequence sequence = new AnswerSequence();
+		ResponseTokenSequence sequence = new ResponseTokenSequence();
 		List<Long> seen = new ArrayList<>();
 		for (int attempt = 0; attempt < attemptLengths.size(); attempt++) {
-			sequence.follow(attempt);
-			long start = sequence.passedOn() / 2;
+			sequence.switchToAttempt(attempt);
+			long start = sequence.forwardedTokens() / 2;
 			for (long index = start; index < start + attemptLengths.get(attempt); index++) {
-				if (sequence.token(attempt, index) == Verdict.PASS) {
+				if (sequence.token(attempt, index) == Verdict.FORWARD) {
 					seen.add(index);
 				}
 			}
 		}
-		assertThat(seen).isEqualTo(LongStream.range(0, sequence.passedOn()).boxed().toList());
+		assertThat(seen).isEqualTo(LongStream.range(0, sequence.forwardedTokens()).boxed().toList());
 	}
 
 	@Nested
@@ -45,19 +45,19 @@
 		// Forwarding them would mix the text of another attempt into the response.
 		@Test
 		void tokensOfAnAbandonedAttemptAreDiscarded() {
-			AnswerSequence sequence = new AnswerSequence();
-			sequence.follow(1);
+			ResponseTokenSequence sequence = new ResponseTokenSequence();
+			sequence.switchToAttempt(1);
 			sequence.token(1, 0);
-			sequence.follow(2);
-			assertThat(sequence.token(1, 1)).isEqualTo(Verdict.FOREIGN);
+			sequence.switchToAttempt(2);
+			assertThat(sequence.token(1, 1)).isEqualTo(Verdict.DISCARD);
 			assertThat(sequence.end(1)).isFalse();
-			assertThat(sequence.token(2, 1)).isEqualTo(Verdict.PASS);
+			assertThat(sequence.token(2, 1)).isEqualTo(Verdict.FORWARD);
 		}
 
 		@Test
 		void tokensAfterAGapAreNotForwarded() {
-			AnswerSequence sequence = new AnswerSequence();
-			sequence.follow(1);
+			ResponseTokenSequence sequence = new ResponseTokenSequence();
+			sequence.switchToAttempt(1);
 			assertThat(sequence.token(1, 1)).isEqualTo(Verdict.GAP);
 		}
 
--- a/core/src/test/java/org/acaciacourse/core/delivery/RunLedgerTests.java
+++ b/core/src/test/java/org/acaciacourse/core/delivery/RunStateTrackerTests.java
@@ -18,9 +18,9 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * Tests for {@link RunLedger}.
+ * Tests for {@link RunStateTracker}.
  */
-class RunLedgerTests {
+class RunStateTrackerTests {
 
 	@Provide
 	Arbitrary<List<Step>> interleavings() {
@@ -35,12 +35,12 @@
 	// whose bytes arrive unless it refused it.
 	@Property(tries = 20_000, seed = "4711")
 	void neverReportsNotRunForARequestThatRan(@ForAll("interleavings") List<Step> steps) {
-		RunLedger ledger = new RunLedger();
+		RunStateTracker tracker = new RunStateTracker();
 		FakeEndpoint endpoint = new FakeEndpoint();
 		for (Step step : steps) {
-			endpoint.step(step, ledger);
+			endpoint.step(step, tracker);
 			if (!endpoint.ran.isEmpty()) {
-				assertThat(ledger.state()).isNotEqualTo(RunState.NOT_RUN);
+				assertThat(tracker.state()).isNotEqualTo(RunState.NOT_RUN);
 			}
 		}
 	}
@@ -66,15 +66,15 @@
 
 		private final List<Integer> inTransit = new ArrayList<>();
 
-		void step(Step step, RunLedger ledger) {
+		void step(Step step, RunStateTracker tracker) {
 			int attempt = step.attempt();
 			switch (step.event()) {
-				case SEND -> send(attempt, ledger);
+				case SEND -> send(attempt, tracker);
 				case ARRIVE -> arrive(attempt);
 				case LOSE -> this.inTransit.remove((Integer) attempt);
-				case REFUSE -> refuse(attempt, ledger);
-				case ANSWER -> answer(attempt, ledger);
-				case LATE_REFUSAL_OF_OTHER -> ledger.refused(attempt, attempt + 1000L);
+				case REFUSE -> refuse(attempt, tracker);
+				case ANSWER -> answer(attempt, tracker);
+				case LATE_REFUSAL_OF_OTHER -> tracker.refused(attempt, attempt + 1000L);
 				default -> {
 					// A reset, timeout or cancellation does not show what the endpoint
 					// did.
@@ -82,10 +82,10 @@
 			}
 		}
 
-		private void send(int attempt, RunLedger ledger) {
-			ledger.begin(attempt);
+		private void send(int attempt, RunStateTracker tracker) {
+			tracker.attemptStarted(attempt);
 			if (this.sent.add(attempt)) {
-				ledger.mayReach(attempt);
+				tracker.beforeSend(attempt);
 				this.inTransit.add(attempt);
 			}
 		}
@@ -96,16 +96,16 @@
 			}
 		}
 
-		private void refuse(int attempt, RunLedger ledger) {
+		private void refuse(int attempt, RunStateTracker tracker) {
 			if (this.inTransit.remove((Integer) attempt)) {
 				this.refused.add(attempt);
-				ledger.refused(attempt, attempt);
+				tracker.refused(attempt, attempt);
 			}
 		}
 
-		private void answer(int attempt, RunLedger ledger) {
+		private void answer(int attempt, RunStateTracker tracker) {
 			if (this.ran.contains(attempt)) {
-				ledger.ran(attempt);
+				tracker.ran(attempt);
 			}
 		}
 
@@ -116,35 +116,35 @@
 
 		@Test
 		void isNotRunWhileNothingWasWrittenToAConnection() {
-			RunLedger ledger = new RunLedger();
-			ledger.begin(1);
-			assertThat(ledger.state()).isEqualTo(RunState.NOT_RUN);
-			assertThat(ledger.mayRunAgain()).isTrue();
+			RunStateTracker tracker = new RunStateTracker();
+			tracker.attemptStarted(1);
+			assertThat(tracker.state()).isEqualTo(RunState.NOT_RUN);
+			assertThat(tracker.mayRetry()).isTrue();
 		}
 
 		// A late refusal of another attempt arrives. Applying it to this one would report
 		// "not run" to the client for a request that runs.
 		@Test
 		void ignoresARefusalOfAnotherAttempt() {
-			RunLedger ledger = new RunLedger();
-			ledger.begin(1);
-			ledger.mayReach(1);
-			assertThat(ledger.refused(1, 2)).isFalse();
-			assertThat(ledger.state()).isEqualTo(RunState.UNKNOWN);
+			RunStateTracker tracker = new RunStateTracker();
+			tracker.attemptStarted(1);
+			tracker.beforeSend(1);
+			assertThat(tracker.refused(1, 2)).isFalse();
+			assertThat(tracker.state()).isEqualTo(RunState.UNKNOWN);
 		}
 
 		@Test
 		void isThatOfTheAttemptMostLikelyToHaveRun() {
-			RunLedger ledger = new RunLedger();
-			ledger.begin(1);
-			ledger.mayReach(1);
-			ledger.refused(1, 1);
-			assertThat(ledger.state()).isEqualTo(RunState.NOT_RUN);
-			ledger.begin(2);
-			ledger.mayReach(2);
-			assertThat(ledger.state()).isEqualTo(RunState.UNKNOWN);
-			ledger.ran(2);
-			assertThat(ledger.state()).isEqualTo(RunState.RUN);
+			RunStateTracker tracker = new RunStateTracker();
+			tracker.attemptStarted(1);
+			tracker.beforeSend(1);
+			tracker.refused(1, 1);
+			assertThat(tracker.state()).isEqualTo(RunState.NOT_RUN);
+			tracker.attemptStarted(2);
+			tracker.beforeSend(2);
+			assertThat(tracker.state()).isEqualTo(RunState.UNKNOWN);
+			tracker.ran(2);
+			assertThat(tracker.state()).isEqualTo(RunState.RUN);
 		}
 
 	}
--- a/core/src/test/java/org/acaciacourse/core/dispatch/Driver.java
+++ b/core/src/test/java/org/acaciacourse/core/dispatch/Driver.java
@@ -16,8 +16,8 @@
 import org.acaciacourse.core.model.LatencyTarget;
 import org.acaciacourse.core.model.Manifest;
 import org.acaciacourse.core.model.Policy;
-import org.acaciacourse.core.model.PolicyInForce;
 import org.acaciacourse.core.model.PolicyKind;
+import org.acaciacourse.core.model.PolicySelection;
 import org.acaciacourse.core.model.RequestClass;
 import org.acaciacourse.core.model.Tier;
 
@@ -68,7 +68,7 @@
 		}
 		EndpointSet set = new EndpointSet("llm", EndpointSet.Kind.MODEL, Set.of("m"), true, true, true);
 		Customer customer = new Customer("c", Set.of(), List.of("broker", "night"), 100_000, 1e6, 1);
-		return new Manifest(1, "", new PolicyInForce(policy, Optional.empty(), 0), policies, classes,
+		return new Manifest(1, "", new PolicySelection(policy, Optional.empty(), 0), policies, classes,
 				Map.of("llm", set), declared, Map.of("c", customer), Map.of(), Set.of());
 	}
 
@@ -78,7 +78,7 @@
 
 	long arrive(String requestClass, long content, boolean notRepeated) {
 		long id = ++this.nextId;
-		this.dispatcher.arrive(new RequestInfo(id, "c", requestClass, "llm", content, 0, 100, 0, notRepeated,
+		this.dispatcher.requestArrived(new RequestInfo(id, "c", requestClass, "llm", content, 0, 100, 0, notRepeated,
 				this.now + 7200 * SECOND), this.now);
 		return id;
 	}
@@ -105,7 +105,7 @@
 	}
 
 	void endAttempt(Attempt attempt, AttemptOutcome outcome) {
-		this.dispatcher.ended(attempt.id(), outcome, this.now);
+		this.dispatcher.attemptEnded(attempt.id(), outcome, this.now);
 	}
 
 	@Override
@@ -127,7 +127,7 @@
 	}
 
 	@Override
-	public void unreachable(long requestId, TargetEstimate estimate) {
+	public void targetUnreachable(long requestId, TargetEstimate estimate) {
 		this.estimates.put(requestId, estimate);
 	}
 
--- a/core/src/test/java/org/acaciacourse/core/dispatch/PolicyDispatcherTests.java
+++ b/core/src/test/java/org/acaciacourse/core/dispatch/PolicyDispatcherTests.java
@@ -67,13 +67,13 @@
 			Driver driver = new Driver("tiered", 1, 1);
 			long night = driver.arrive("night");
 			Attempt preempted = driver.lastAttemptOf(night);
-			driver.dispatcher.tokens(preempted.id(), 40, driver.now);
+			driver.dispatcher.tokensReceived(preempted.id(), 40, driver.now);
 			long broker = driver.arrive("broker");
 			assertThat(driver.cancelled).containsExactly(preempted.id());
 			assertThat(driver.attemptCount(broker)).isEqualTo(1);
 			driver.endAttempt(preempted, AttemptOutcome.CANCELLED);
 			driver.endAttempt(driver.lastAttemptOf(broker), AttemptOutcome.COMPLETE);
-			assertThat(driver.lastAttemptOf(night).resumeAt()).isEqualTo(40);
+			assertThat(driver.lastAttemptOf(night).resumeFrom()).isEqualTo(40);
 		}
 
 	}
@@ -141,7 +141,7 @@
 				driver.advance(4 * Driver.SECOND);
 				driver.endAttempt(driver.lastAttemptOf(id), AttemptOutcome.COMPLETE);
 				long broker = driver.arrive("broker");
-				driver.dispatcher.tokens(driver.lastAttemptOf(broker).id(), 1, driver.now);
+				driver.dispatcher.tokensReceived(driver.lastAttemptOf(broker).id(), 1, driver.now);
 				driver.advance(4 * Driver.SECOND);
 				driver.endAttempt(driver.lastAttemptOf(broker), AttemptOutcome.COMPLETE);
 			}
--- a/core/src/test/java/org/acaciacourse/core/dispatch/RandomEventsTests.java
+++ b/core/src/test/java/org/acaciacourse/core/dispatch/RandomEventsTests.java
@@ -34,7 +34,7 @@
 		}
 		sequence.completeOpenRequests();
 		assertThat(sequence.answered).isEqualTo(sequence.arrived);
-		assertThat(sequence.driver.dispatcher.openRequests()).isEqualTo(0);
+		assertThat(sequence.driver.dispatcher.openRequestCount()).isEqualTo(0);
 	}
 
 	/** One sequence of random events and the expected state. */
@@ -114,7 +114,7 @@
 		private void tokens() {
 			Attempt attempt = pick();
 			if (attempt != null) {
-				this.driver.dispatcher.tokens(attempt.id(), 1 + this.random.nextInt(9), this.driver.now);
+				this.driver.dispatcher.tokensReceived(attempt.id(), 1 + this.random.nextInt(9), this.driver.now);
 			}
 		}
 
@@ -159,7 +159,7 @@
 			for (int i = 0; i < 5; i++) {
 				this.driver.dispatcher.endpointStatus("llm-" + i, EndpointStatus.LIVE, this.driver.now);
 			}
-			for (int i = 0; i < 3_000 && this.driver.dispatcher.openRequests() > 0; i++) {
+			for (int i = 0; i < 3_000 && this.driver.dispatcher.openRequestCount() > 0; i++) {
 				List.copyOf(this.openAttempts.values()).forEach((attempt) -> {
 					if (this.openAttempts.containsKey(attempt.id())) {
 						end(attempt, AttemptOutcome.COMPLETE);
--- a/core/src/test/java/org/acaciacourse/core/dispatch/RecoveryTests.java
+++ b/core/src/test/java/org/acaciacourse/core/dispatch/RecoveryTests.java
@@ -15,7 +15,7 @@
 	private static void answer(Driver driver, long request, long firstTokenAfter) {
 		Attempt attempt = driver.lastAttemptOf(request);
 		driver.advance(firstTokenAfter);
-		driver.dispatcher.tokens(attempt.id(), 10, driver.now);
+		driver.dispatcher.tokensReceived(attempt.id(), 10, driver.now);
 		driver.endAttempt(attempt, AttemptOutcome.COMPLETE);
 	}
 
--- a/core/src/test/java/org/acaciacourse/core/dispatch/SuspectsOfTwoEntriesTests.java
+++ b/core/src/test/java/org/acaciacourse/core/dispatch/SuspectsOfTwoEntriesTests.java
@@ -99,7 +99,7 @@
 		for (CrashReport report : List.copyOf(this.reportsInTransit)) {
 			if (report.arrivesAt() <= step) {
 				this.reportsInTransit.remove(report);
-				report.to().dispatcher.suspect(report.content(), report.crashes(), report.to().now);
+				report.to().dispatcher.suspectReported(report.content(), report.crashes(), report.to().now);
 			}
 		}
 	}
--- a/core/src/test/java/org/acaciacourse/core/dispatch/suspect/SuspectTableTests.java
+++ b/core/src/test/java/org/acaciacourse/core/dispatch/suspect/SuspectTableTests.java
@@ -25,7 +25,7 @@
 	void blockedContentStaysBlockedAfterLateReport() {
 		this.table.record(1, 2, false, 0);
 		this.table.record(1, 1, false, SECOND);
-		assertThat(this.table.crashes(1, SECOND)).isEqualTo(SuspectTable.CONVICTION);
+		assertThat(this.table.crashes(1, SECOND)).isEqualTo(SuspectTable.BLOCKING_CRASHES);
 	}
 
 	@Test
--- a/core/src/test/java/org/acaciacourse/core/lease/LeaseHolderTests.java
+++ b/core/src/test/java/org/acaciacourse/core/lease/LeaseHolderTests.java
@@ -18,7 +18,7 @@
 
 	@Test
 	void leaseTimeCountsFromTheRequestAndEndsEarly() {
-		long request = this.holder.request(100).getAsLong();
+		long request = this.holder.requestIfDue(100).getAsLong();
 		this.holder.granted(request, 7);
 		assertThat(this.holder.fencingNumber(999)).isEqualTo(OptionalLong.of(7));
 		assertThat(this.holder.fencingNumber(1_000)).isEqualTo(OptionalLong.empty());
@@ -28,18 +28,18 @@
 	void replyReadAfterAPauseDoesNotReviveTheLease() {
 		// The process requests a renewal, is paused beyond the lease time and reads the
 		// reply only then. Another process may hold the lease by that time.
-		long request = this.holder.request(0).getAsLong();
+		long request = this.holder.requestIfDue(0).getAsLong();
 		this.holder.granted(request, 7);
-		long renewal = this.holder.request(300).getAsLong();
+		long renewal = this.holder.requestIfDue(300).getAsLong();
 		this.holder.granted(renewal, 7);
 		assertThat(this.holder.fencingNumber(5_000)).isEqualTo(OptionalLong.empty());
 	}
 
 	@Test
 	void replyToATimedOutRequestIsIgnored() {
-		long first = this.holder.request(0).getAsLong();
-		assertThat(this.holder.request(299)).isEqualTo(OptionalLong.empty());
-		long second = this.holder.request(300).getAsLong();
+		long first = this.holder.requestIfDue(0).getAsLong();
+		assertThat(this.holder.requestIfDue(299)).isEqualTo(OptionalLong.empty());
+		long second = this.holder.requestIfDue(300).getAsLong();
 		this.holder.granted(first, 7);
 		assertThat(this.holder.fencingNumber(301)).isEqualTo(OptionalLong.empty());
 		this.holder.granted(second, 8);
@@ -48,9 +48,9 @@
 
 	@Test
 	void releaseEndsTheLeaseAtOnceEvenWithARenewalOutstanding() {
-		long request = this.holder.request(0).getAsLong();
+		long request = this.holder.requestIfDue(0).getAsLong();
 		this.holder.granted(request, 7);
-		long renewal = this.holder.request(300).getAsLong();
+		long renewal = this.holder.requestIfDue(300).getAsLong();
 		assertThat(this.holder.release(301).get()).isEqualTo(7);
 		this.holder.granted(renewal, 7);
 		assertThat(this.holder.fencingNumber(302)).isEqualTo(OptionalLong.empty());
--- a/core/src/test/java/org/acaciacourse/core/order/OrderWriterTests.java
+++ b/core/src/test/java/org/acaciacourse/core/order/OrderWriterTests.java
@@ -13,7 +13,7 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * Tests for {@link OrderWriter} and {@link WeightBudget}.
+ * Tests for {@link OrderWriter} and {@link ModelLoadBudget}.
  */
 class OrderWriterTests {
 
@@ -32,7 +32,7 @@
 	private OrderWriter writer = writer(1e9);
 
 	private OrderWriter writer(double loadsPerSecond) {
-		return new OrderWriter(TIMING, new WeightBudget(3, loadsPerSecond, 0), new OrderActions() {
+		return new OrderWriter(TIMING, new ModelLoadBudget(3, loadsPerSecond, 0), new OrderActions() {
 
 			@Override
 			public void readState(String endpoint) {
@@ -45,7 +45,7 @@
 			}
 
 			@Override
-			public void outdated(String endpoint, long fencingNumber) {
+			public void higherFencingNumberSeen(String endpoint, long fencingNumber) {
 				OrderWriterTests.this.outdated.add(endpoint);
 			}
 
@@ -57,7 +57,7 @@
 		for (DesiredEngine engine : engines) {
 			byName.put(engine.endpoint(), engine);
 		}
-		this.writer.desire(byName, now);
+		this.writer.updateDesired(byName, now);
 	}
 
 	private static DesiredEngine engine(String name, boolean checksFencing, Tier tier) {
@@ -86,7 +86,7 @@
 			OrderWriterTests.this.writer.stateRead("e", 2, new EngineState(1, Set.of("m"), "serve"));
 			tick(2, 6);
 			assertThat(lastOrder()).isEqualTo(new EngineOrder("e", 2, EngineOrder.Kind.ROLE, "serve"));
-			OrderWriterTests.this.writer.done(lastOrder());
+			OrderWriterTests.this.writer.orderCompleted(lastOrder());
 			tick(2, 7);
 			assertThat(OrderWriterTests.this.reads).hasSize(2);
 			OrderWriterTests.this.writer.stateRead("e", 2, new EngineState(2, Set.of(), "serve"));
--- a/core/src/test/java/org/acaciacourse/core/route/RouteTableParserTests.java
+++ b/core/src/test/java/org/acaciacourse/core/route/RouteTableParserTests.java
@@ -129,7 +129,7 @@
 		@Test
 		void customerWithoutKeysStillRequiresAKey() {
 			section("customer bank", "keys", "");
-			assertThat(parse().get().isKeyed()).isTrue();
+			assertThat(parse().get().requiresCustomerKey()).isTrue();
 		}
 
 	}
--- a/core/src/test/java/org/acaciacourse/core/state/ControlStateTests.java
+++ b/core/src/test/java/org/acaciacourse/core/state/ControlStateTests.java
@@ -61,7 +61,7 @@
 			put(1, document("1"), ManifestDocument.empty());
 			ManifestResult result = put(2, document("2"), ManifestDocument.empty());
 			assertThat(result.baseChanged()).isTrue();
-			assertThat(ControlStateTests.this.state.number()).isEqualTo(1);
+			assertThat(ControlStateTests.this.state.manifestNumber()).isEqualTo(1);
 		}
 
 		@Test
@@ -125,7 +125,7 @@
 			ClaimResult again = claim(0, KEY, "vm2#2");
 			assertThat(again.code()).isEqualTo(ResultCode.OK);
 			assertThat(again.granted()).isFalse();
-			assertThat(again.answer().get()).isEqualTo(new byte[] { 7 });
+			assertThat(again.response().get()).isEqualTo(new byte[] { 7 });
 		}
 
 		@Test
--- a/daemon/src/main/java/org/acaciacourse/daemon/cli/StopSignal.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/cli/StopSignal.java
@@ -50,7 +50,7 @@
 	 * Return whether a second signal was received.
 	 * @return whether to abort what is still open
 	 */
-	public boolean isRepeated() {
+	public boolean isForced() {
 		return this.count.get() > 1;
 	}
 
--- a/daemon/src/main/java/org/acaciacourse/daemon/codec/CommandCodec.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/codec/CommandCodec.java
@@ -59,7 +59,7 @@
 		if (command instanceof CompleteClaim c) {
 			CompleteClaimCommand struct = new CompleteClaimCommand();
 			struct.setCustomer(c.key().customer()).setIdempotencyKey(c.key().idempotencyKey()).setOwner(c.owner());
-			return CommandBody.completeClaim(struct.setOutcome(c.outcome().ordinal()).setAnswer(c.answer()));
+			return CommandBody.completeClaim(struct.setOutcome(c.outcome().ordinal()).setAnswer(c.response()));
 		}
 		if (command instanceof EndOwner c) {
 			return CommandBody.endOwner(new EndOwnerCommand(c.owner()));
--- a/daemon/src/main/java/org/acaciacourse/daemon/codec/LoadDigestCodec.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/codec/LoadDigestCodec.java
@@ -40,8 +40,8 @@
 			.map((use) -> new PartUseRecord(use.endpoint(), use.part().id(), use.part().tokens()))
 			.toList());
 		record.setKind(digest.kind().ordinal()).setPart(digest.part()).setParts(digest.parts()).setVms(digest.vms());
-		if (!digest.heard().isEmpty()) {
-			record.setHeard(digest.heard());
+		if (!digest.acknowledged().isEmpty()) {
+			record.setHeard(digest.acknowledged());
 		}
 		return ThriftBytes.encode(record);
 	}
--- a/daemon/src/main/java/org/acaciacourse/daemon/codec/StateCodec.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/codec/StateCodec.java
@@ -5,11 +5,11 @@
 import io.vavr.control.Try;
 import org.acaciacourse.core.state.ClaimKey;
 import org.acaciacourse.core.state.ControlStateSnapshot;
+import org.acaciacourse.core.state.ControlStateSnapshot.ActiveManifest;
 import org.acaciacourse.core.state.ControlStateSnapshot.AuditEntry;
 import org.acaciacourse.core.state.ControlStateSnapshot.ClaimRecord;
 import org.acaciacourse.core.state.ControlStateSnapshot.Lease;
 import org.acaciacourse.core.state.ControlStateSnapshot.ManifestChange;
-import org.acaciacourse.core.state.ControlStateSnapshot.ManifestInForce;
 import org.acaciacourse.protocol.generated.AuditRecord;
 import org.acaciacourse.protocol.generated.ClaimEntryRecord;
 import org.acaciacourse.protocol.generated.CrashRecord;
@@ -57,7 +57,7 @@
 	}
 
 	private static ControlStateSnapshot state(StateRecord struct) {
-		ManifestInForce manifest = new ManifestInForce(struct.getNumber(), struct.getDigest(),
+		ActiveManifest manifest = new ActiveManifest(struct.getNumber(), struct.getDigest(),
 				ManifestCodec.decode(struct.getSections()));
 		return new ControlStateSnapshot(struct.getAppliedIndex(), struct.getTime(), manifest,
 				struct.getHistory().stream().map(StateCodec::decode).toList(),
@@ -104,7 +104,7 @@
 		struct.setCustomer(claim.key().customer()).setIdempotencyKey(claim.key().idempotencyKey());
 		struct.setContentHash(claim.contentHash()).setOwner(claim.owner());
 		struct.setOutcome(claim.outcome().ordinal()).setChangedAt(claim.changedAt());
-		claim.answer().ifPresent(struct::setAnswer);
+		claim.response().ifPresent(struct::setAnswer);
 		return struct;
 	}
 
--- a/daemon/src/main/java/org/acaciacourse/daemon/control/ApplyService.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/control/ApplyService.java
@@ -53,8 +53,8 @@
 
 	private ApplyReply commit(long number, ManifestDocument document, String operator) {
 		String digest = document.digest();
-		LoopEvent.CommandFactory factory = (state, now) -> new Command.PutManifest(now, number, digest, state.digest(),
-				state.document().deltaTo(document), operator);
+		LoopEvent.CommandFactory factory = (state, now) -> new Command.PutManifest(now, number, digest,
+				state.manifestDigest(), state.manifestDocument().deltaTo(document), operator);
 		for (int attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
 			Either<ControlException, CommandResult> outcome = Replies.await(this.loop.propose(factory));
 			if (outcome.isLeft()) {
--- a/daemon/src/main/java/org/acaciacourse/daemon/control/ConfigurationStore.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/control/ConfigurationStore.java
@@ -76,7 +76,7 @@
 			Thread.currentThread().interrupt();
 			return Either.left(ResultCode.STOPPING);
 		}
-		return Replies.await(this.loop.query((state) -> state.document())).mapLeft(ControlException::code);
+		return Replies.await(this.loop.query((state) -> state.manifestDocument())).mapLeft(ControlException::code);
 	}
 
 }
--- a/daemon/src/main/java/org/acaciacourse/daemon/control/ControlDaemon.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/control/ControlDaemon.java
@@ -21,8 +21,8 @@
 import org.acaciacourse.core.consensus.MembershipManager;
 import org.acaciacourse.core.consensus.ReplicaStatus.Role;
 import org.acaciacourse.core.order.OrderTiming;
-import org.acaciacourse.daemon.inner.InnerConnection;
-import org.acaciacourse.daemon.inner.InnerServer;
+import org.acaciacourse.daemon.inner.InternalConnection;
+import org.acaciacourse.daemon.inner.InternalServer;
 import org.acaciacourse.daemon.order.OrderWriterLoop;
 import org.acaciacourse.daemon.store.ReplicaStore;
 import org.acaciacourse.daemon.store.StoreException;
@@ -121,8 +121,8 @@
 		ServerSocket listener = new ServerSocket();
 		this.resources.push(listener);
 		listener.setReuseAddress(true);
-		listener.bind(InnerConnection.parse(this.options.address()));
-		InnerServer server = new InnerServer(listener, this.replicaHandler, this.controlHandler);
+		listener.bind(InternalConnection.parse(this.options.address()));
+		InternalServer server = new InternalServer(listener, this.replicaHandler, this.controlHandler);
 		this.resources.push(server);
 		server.start();
 		LOGGER.info("replica {} of VM {} listens at {}", this.self.id().value(), this.options.vm(),
@@ -137,7 +137,8 @@
 		}
 		// Started after the replica, so that the admin server does not delay an election,
 		// for which all entry VMs wait.
-		this.resources.push(new AdminServer(InnerConnection.parse(this.options.admin()), this.metrics, this::isReady));
+		this.resources
+			.push(new AdminServer(InternalConnection.parse(this.options.admin()), this.metrics, this::isReady));
 	}
 
 	private synchronized void tryBootstrap() {
@@ -182,7 +183,7 @@
 	private void writeInitialMembership(Membership initialMembership) {
 		LogEntry first = new LogEntry(1, BOOTSTRAP_TERM, LogEntry.Kind.MEMBERSHIP,
 				MembershipCodec.encode(initialMembership));
-		this.store.found(new HardState(BOOTSTRAP_TERM, Optional.of(this.self.id())), first);
+		this.store.bootstrap(new HardState(BOOTSTRAP_TERM, Optional.of(this.self.id())), first);
 	}
 
 	private void startReplica() {
@@ -249,7 +250,7 @@
 	public boolean isReady() {
 		boolean placed = this.loop.map((l) -> l.views().latest())
 			.filter((p) -> p.status().leader().isPresent())
-			.filter((p) -> MembershipManager.isSettled(p.membership(), this.self.id()))
+			.filter((p) -> MembershipManager.hasFinalRole(p.membership(), this.self.id()))
 			.isPresent();
 		return placed && this.latestKnown && !this.stopping && !this.ended.isDone();
 	}
--- a/daemon/src/main/java/org/acaciacourse/daemon/control/ControlHandler.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/control/ControlHandler.java
@@ -129,7 +129,7 @@
 	private static ClaimReply claimReply(CommandResult result) {
 		ClaimResult claim = (ClaimResult) result;
 		ClaimReply reply = new ClaimReply(Replies.result(claim.code()), claim.outcome().ordinal(), claim.granted());
-		claim.answer().ifPresent(reply::setAnswer);
+		claim.response().ifPresent(reply::setAnswer);
 		return reply;
 	}
 
--- a/daemon/src/main/java/org/acaciacourse/daemon/control/ControlOptions.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/control/ControlOptions.java
@@ -8,7 +8,7 @@
 import org.acaciacourse.core.consensus.ReplicaTiming;
 import org.acaciacourse.core.settings.SettingKey;
 import org.acaciacourse.core.settings.Settings;
-import org.acaciacourse.daemon.inner.InnerConnection;
+import org.acaciacourse.daemon.inner.InternalConnection;
 import org.acaciacourse.daemon.inner.SharedKey;
 
 /**
@@ -74,11 +74,11 @@
 	public static ControlOptions of(Settings settings) {
 		List<String> initial = settings.addresses(SettingKey.CONTROL_INITIAL)
 			.stream()
-			.map(InnerConnection::format)
+			.map(InternalConnection::format)
 			.toList();
 		return new ControlOptions(settings.text(SettingKey.VM_NAME),
-				InnerConnection.format(settings.address(SettingKey.CONTROL_LISTEN)),
-				InnerConnection.format(settings.address(SettingKey.CONTROL_ADMIN)), initial,
+				InternalConnection.format(settings.address(SettingKey.CONTROL_LISTEN)),
+				InternalConnection.format(settings.address(SettingKey.CONTROL_ADMIN)), initial,
 				Path.of(settings.text(SettingKey.CONTROL_DATA)), new SharedKey(settings.text(SettingKey.INNER_KEY)),
 				new SharedKey(settings.text(SettingKey.CONTROL_OPERATOR_KEY)),
 				settings.optionalText(SettingKey.CONTROL_PLATFORM_LIST), settings.flag(SettingKey.CONTROL_ORDERS),
--- a/daemon/src/main/java/org/acaciacourse/daemon/control/ManifestView.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/control/ManifestView.java
@@ -39,7 +39,7 @@
 
 	private Optional<ManifestDocument> readDocument() {
 		try {
-			return Optional.of(this.loop.query(ControlState::document).get(WAIT_SECONDS, TimeUnit.SECONDS));
+			return Optional.of(this.loop.query(ControlState::manifestDocument).get(WAIT_SECONDS, TimeUnit.SECONDS));
 		}
 		catch (InterruptedException ex) {
 			Thread.currentThread().interrupt();
--- a/daemon/src/main/java/org/acaciacourse/daemon/control/PeerCalls.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/control/PeerCalls.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import java.util.Optional;
 
-import org.acaciacourse.daemon.inner.InnerConnection;
+import org.acaciacourse.daemon.inner.InternalConnection;
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 import org.apache.thrift.TException;
@@ -31,7 +31,7 @@
 	 * @return the response, empty if the call failed or timed out
 	 */
 	static <T> Optional<T> call(String address, Call<T> call) {
-		try (InnerConnection connection = InnerConnection.open(address, TIMEOUT)) {
+		try (InternalConnection connection = InternalConnection.open(address, TIMEOUT)) {
 			return Optional.of(call.execute(connection));
 		}
 		catch (TException | RuntimeException ex) {
@@ -54,7 +54,7 @@
 		 * @return the response
 		 * @throws TException if the call fails
 		 */
-		T execute(InnerConnection connection) throws TException;
+		T execute(InternalConnection connection) throws TException;
 
 	}
 
--- a/daemon/src/main/java/org/acaciacourse/daemon/control/PeerSender.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/control/PeerSender.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-import org.acaciacourse.daemon.inner.InnerConnection;
+import org.acaciacourse.daemon.inner.InternalConnection;
 import org.acaciacourse.daemon.inner.SharedKey;
 import org.acaciacourse.protocol.generated.ReplicaEnvelope;
 import org.apache.logging.log4j.LogManager;
@@ -51,7 +51,7 @@
 
 	private volatile boolean closed;
 
-	private InnerConnection connection;
+	private InternalConnection connection;
 
 	private long reconnectAt = System.nanoTime();
 
@@ -93,7 +93,7 @@
 		}
 		try {
 			if (this.connection == null) {
-				this.connection = InnerConnection.open(this.address, TIMEOUT);
+				this.connection = InternalConnection.open(this.address, TIMEOUT);
 			}
 			this.connection.replica().deliver(this.key.text(), batch, this.ownAddress);
 		}
--- a/daemon/src/main/java/org/acaciacourse/daemon/control/PollService.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/control/PollService.java
@@ -104,12 +104,13 @@
 	}
 
 	private PollReply reply(ControlState state, PollRequest request) {
-		PollReply reply = emptyReply(Replies.result(ResultCode.OK)).setNumber(state.number()).setDigest(state.digest());
-		if (state.number() > request.getNumber()) {
+		PollReply reply = emptyReply(Replies.result(ResultCode.OK)).setNumber(state.manifestNumber())
+			.setDigest(state.manifestDigest());
+		if (state.manifestNumber() > request.getNumber()) {
 			Optional<ManifestDelta> delta = state.deltaFrom(request.getNumber(), request.getDigest());
 			delta.ifPresentOrElse((d) -> reply.setDelta(ManifestCodec.encode(d)).setBaseDigest(request.getDigest()),
-					() -> reply.setSnapshot(ManifestCodec.encode(state.document()))
-						.setChecksum(state.document().checksum()));
+					() -> reply.setSnapshot(ManifestCodec.encode(state.manifestDocument()))
+						.setChecksum(state.manifestDocument().checksum()));
 		}
 		reply.setCrashRevision(state.statistics().crashRevision());
 		reply.setCrashes(state.crashesSince(request.getCrashRevision())
--- a/daemon/src/main/java/org/acaciacourse/daemon/control/ReplicaDriver.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/control/ReplicaDriver.java
@@ -25,7 +25,7 @@
 import org.acaciacourse.core.state.ProposalClock;
 import org.acaciacourse.daemon.codec.CommandCodec;
 import org.acaciacourse.daemon.codec.StateCodec;
-import org.acaciacourse.daemon.store.Recovered;
+import org.acaciacourse.daemon.store.RecoveredState;
 import org.acaciacourse.daemon.store.ReplicaStore;
 import org.acaciacourse.daemon.store.StoreException;
 
@@ -88,7 +88,7 @@
 	private long leadingTerm;
 
 	ReplicaDriver(ReplicaStore store, String vm, ReplicaTiming timing, long snapshotEntries, Outbox outbox, long now) {
-		Recovered recovered = store.recovered();
+		RecoveredState recovered = store.recovered();
 		this.store = store;
 		this.outbox = outbox;
 		this.snapshotEntries = snapshotEntries;
@@ -96,7 +96,7 @@
 		recovered.snapshot().ifPresent(this::restore);
 		RecoveredLog log = new RecoveredLog(recovered.hardState(), recovered.snapshot(), recovered.entries());
 		this.replica = new Replica(store.identity(), vm, log, timing, store.identity().value(), this, now);
-		store.forgetRecovered();
+		store.releaseRecovered();
 		this.membershipCheckedAt = now;
 		this.decisionLog = new ReplicaDecisionLog(now);
 		this.views = new ReplicaViewMonitor(currentView(now));
@@ -166,7 +166,7 @@
 			return;
 		}
 		boolean listed = this.replica.membership().member(event.member().id()).isPresent();
-		event.accepted().complete(listed || this.manager.join(event.member()));
+		event.accepted().complete(listed || this.manager.addJoinRequest(event.member()));
 	}
 
 	private ControlException notLeader() {
@@ -188,7 +188,7 @@
 			Optional<LogEntry> last = this.lastAppended;
 			this.lastAppended = Optional.empty();
 			this.store.sync();
-			last.ifPresent((entry) -> this.replica.durable(entry.index(), entry.term(), now));
+			last.ifPresent((entry) -> this.replica.entriesPersisted(entry.index(), entry.term(), now));
 		}
 		this.outbox.flush();
 		if (isSnapshotDue()) {
@@ -211,8 +211,9 @@
 		this.membershipCheckedAt = now;
 		this.manager.observe(this.replica.membership(), (id) -> this.replica.isInContact(id, now), now);
 		this.manager
-			.next(this.replica.membership(), this.replica.isMembershipCommitted(), this.replica.status().commitIndex(),
-					this.replica::matchIndex, (id) -> this.replica.isInContact(id, now))
+			.nextMembership(this.replica.membership(), this.replica.isMembershipCommitted(),
+					this.replica.status().commitIndex(), this.replica::matchIndex,
+					(id) -> this.replica.isInContact(id, now))
 			.ifPresent((next) -> changeMembership(next, now));
 	}
 
@@ -232,14 +233,15 @@
 		Snapshot snapshot = new Snapshot(this.appliedIndex, this.appliedTerm,
 				this.replica.membershipAt(this.appliedIndex), StateCodec.encode(this.state.snapshot()));
 		this.store.save(snapshot);
-		this.replica.compacted(snapshot);
+		this.replica.snapshotPersisted(snapshot);
 		this.snapshotIndex = this.appliedIndex;
 		this.bytesSinceSnapshot = 0;
 	}
 
 	private ReplicaView currentView(long now) {
-		return new ReplicaView(this.replica.status(), this.replica.membership(), this.appliedIndex, this.state.number(),
-				this.state.digest(), this.state.statistics().crashRevision(), this.replica.needsToJoin(now));
+		return new ReplicaView(this.replica.status(), this.replica.membership(), this.appliedIndex,
+				this.state.manifestNumber(), this.state.manifestDigest(), this.state.statistics().crashRevision(),
+				this.replica.needsToJoin(now));
 	}
 
 	/**
@@ -322,7 +324,7 @@
 	}
 
 	@Override
-	public void failed(long id) {
+	public void operationFailed(long id) {
 		CompletableFuture<Long> read = this.reads.remove(id);
 		if (read != null) {
 			read.completeExceptionally(notLeader());
--- a/daemon/src/main/java/org/acaciacourse/daemon/control/StatusService.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/control/StatusService.java
@@ -48,7 +48,9 @@
 
 	private StatusReply ofState(ControlState state) {
 		StatusReply reply = new StatusReply();
-		reply.setNumber(state.number()).setDigest(state.digest()).setClaims(state.statistics().claims());
+		reply.setNumber(state.manifestNumber())
+			.setDigest(state.manifestDigest())
+			.setClaims(state.statistics().claims());
 		reply.setAudit(state.audit().stream().map(StateCodec::encode).toList());
 		reply.setLeaseHolder(state.lease(ORDERS_LEASE).map(Lease::holder).orElse(""));
 		return reply.setFencingNumber(state.statistics().fencingNumber());
--- a/daemon/src/main/java/org/acaciacourse/daemon/endpoint/EndpointCall.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/endpoint/EndpointCall.java
@@ -65,7 +65,7 @@
 	 * Return whether a byte of the request may have been sent.
 	 * @return false only if none was sent and none will be
 	 */
-	public boolean maySent() {
+	public boolean mayHaveBeenSent() {
 		return this.stage.get() == Stage.SENT;
 	}
 
@@ -144,7 +144,7 @@
 		this.delimited = headers.contains(HttpHeaderNames.CONTENT_LENGTH)
 				|| headers.contains(HttpHeaderNames.TRANSFER_ENCODING) || this.status == 204;
 		Head head = new Head(this.status, headers);
-		this.executor.execute(() -> this.listener.head(this, head));
+		this.executor.execute(() -> this.listener.headReceived(this, head));
 		return State.CONTINUE;
 	}
 
@@ -157,7 +157,7 @@
 		int waiting = this.pendingBytes.addAndGet(bytes.length + CHUNK_OVERHEAD);
 		this.chunks.offer(bytes);
 		if (waiting > MAX_PENDING_BYTES && ReadGate.pause(this.channel)) {
-			this.listener.paused();
+			this.listener.readingPaused();
 		}
 		scheduleDelivery();
 		return State.CONTINUE;
@@ -167,7 +167,7 @@
 		if (this.scheduled.compareAndSet(false, true)) {
 			this.executor.execute(() -> {
 				this.scheduled.set(false);
-				this.listener.readable(this);
+				this.listener.chunksAvailable(this);
 			});
 		}
 	}
@@ -196,13 +196,13 @@
 
 	@Override
 	public void onThrowable(Throwable cause) {
-		this.executor.execute(() -> this.listener.ended(this, false));
+		this.executor.execute(() -> this.listener.callEnded(this, false));
 	}
 
 	@Override
 	public Void onCompleted() {
 		boolean complete = this.delimited;
-		this.executor.execute(() -> this.listener.ended(this, complete));
+		this.executor.execute(() -> this.listener.callEnded(this, complete));
 		return null;
 	}
 
@@ -238,9 +238,10 @@
 	 * @param url the complete URL
 	 * @param headers the headers
 	 * @param body the body, empty for none
-	 * @param fresh whether to open a new connection that is used for this call only
+	 * @param newConnection whether to open a new connection that is used for this call
+	 * only
 	 */
-	public record Request(String method, String url, Map<String, String> headers, byte[] body, boolean fresh) {
+	public record Request(String method, String url, Map<String, String> headers, byte[] body, boolean newConnection) {
 	}
 
 	/**
@@ -252,28 +253,28 @@
 		 * Called when reading was paused because too much data waits to be polled. Runs
 		 * on the event loop of the HTTP client.
 		 */
-		void paused();
+		void readingPaused();
 
 		/**
 		 * Called when the head of the response was received.
 		 * @param call the call
 		 * @param head status and headers
 		 */
-		void head(EndpointCall call, Head head);
+		void headReceived(EndpointCall call, Head head);
 
 		/**
 		 * Called when chunks can be polled.
 		 * @param call the call
 		 */
-		void readable(EndpointCall call);
+		void chunksAvailable(EndpointCall call);
 
 		/**
 		 * Called when the exchange has ended; chunks may still wait to be polled.
 		 * @param call the call
-		 * @param whole whether the end of the response was proven by its length or its
+		 * @param complete whether the end of the response was proven by its length or its
 		 * transfer coding
 		 */
-		void ended(EndpointCall call, boolean whole);
+		void callEnded(EndpointCall call, boolean complete);
 
 	}
 
--- a/daemon/src/main/java/org/acaciacourse/daemon/endpoint/EndpointClient.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/endpoint/EndpointClient.java
@@ -121,7 +121,7 @@
 	 * @param call receives the response
 	 */
 	public void send(EndpointCall.Request request, EndpointCall call) {
-		AsyncHttpClient client = (request.fresh()) ? this.unpooledClient : this.pooledClient;
+		AsyncHttpClient client = (request.newConnection()) ? this.unpooledClient : this.pooledClient;
 		BoundRequestBuilder builder = client.prepare(request.method(), request.url());
 		request.headers().forEach(builder::setHeader);
 		if (request.body().length > 0) {
@@ -136,7 +136,7 @@
 	 * @param url the complete URL
 	 * @return the response; fails if none is received within 2 s
 	 */
-	public CompletionStage<Response> ask(String method, String url) {
+	public CompletionStage<Response> request(String method, String url) {
 		return sendShortRequest(this.unpooledClient, method, url);
 	}
 
@@ -145,7 +145,7 @@
 	 * @param url the complete URL
 	 * @return the response; fails if none is received within 2 s
 	 */
-	public CompletionStage<Response> poll(String url) {
+	public CompletionStage<Response> requestPooled(String url) {
 		return sendShortRequest(this.pooledClient, "GET", url);
 	}
 
--- a/daemon/src/main/java/org/acaciacourse/daemon/endpoint/EndpointPoller.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/endpoint/EndpointPoller.java
@@ -44,7 +44,7 @@
 
 	private final Listener listener;
 
-	private final EngineStarts startTimes;
+	private final EngineStartTimes startTimes;
 
 	private final ScheduledExecutorService executor = Executors.newSingleThreadScheduledExecutor((task) -> {
 		Thread made = new Thread(task, "poll");
@@ -58,7 +58,7 @@
 
 	private int next;
 
-	public EndpointPoller(EndpointClient client, EngineStarts startTimes, Listener listener) {
+	public EndpointPoller(EndpointClient client, EngineStartTimes startTimes, Listener listener) {
 		this.client = client;
 		this.startTimes = startTimes;
 		this.listener = listener;
@@ -73,7 +73,7 @@
 	 * Set the engines to poll.
 	 * @param bases the base addresses of the engines by endpoint name
 	 */
-	public void endpoints(Map<String, String> bases) {
+	public void setEndpoints(Map<String, String> bases) {
 		this.executor.execute(() -> replaceTargets(bases));
 	}
 
@@ -105,7 +105,7 @@
 		target.lastRequestNanos = now;
 		boolean cacheEvents = ++target.requestCount % CACHE_EVENTS_EVERY == 0;
 		String path = (cacheEvents) ? "/cache/events?since=" + target.nextCacheEvent : "/load";
-		this.client.poll(target.base + path).whenCompleteAsync((response, failure) -> {
+		this.client.requestPooled(target.base + path).whenCompleteAsync((response, failure) -> {
 			target.inFlight = false;
 			if (failure == null && response.getStatusCode() == 200) {
 				readResponse(target, cacheEvents, response);
@@ -121,10 +121,10 @@
 			}
 			else {
 				if (json.has("started_ms")) {
-					this.startTimes.note(target.base, json.path("started_ms").asLong());
+					this.startTimes.put(target.base, json.path("started_ms").asLong());
 				}
 				long age = TimeUnit.MILLISECONDS.toNanos(json.path("age_ms").asLong());
-				this.listener.load(target.name, new LoadReport(json.path("sequence").asLong(),
+				this.listener.loadReported(target.name, new LoadReport(json.path("sequence").asLong(),
 						json.path("running").asInt(), json.path("queued").asInt(), age));
 			}
 		}
@@ -137,7 +137,7 @@
 		target.nextCacheEvent = json.path("next").asLong(target.nextCacheEvent);
 		for (JsonNode event : json.path("events")) {
 			long prefix = Long.parseUnsignedLong(event.path("prefix").asText(), 16);
-			this.listener.prefix(target.name, prefix, event.path("held").asBoolean());
+			this.listener.prefixReported(target.name, prefix, event.path("held").asBoolean());
 		}
 	}
 
@@ -178,7 +178,7 @@
 		 * @param endpoint the name of the endpoint
 		 * @param report the report
 		 */
-		void load(String endpoint, LoadReport report);
+		void loadReported(String endpoint, LoadReport report);
 
 		/**
 		 * Called when an engine has reported a change of its prefix cache.
@@ -186,7 +186,7 @@
 		 * @param prefixHash the hash of a prefix
 		 * @param held whether the cache holds it
 		 */
-		void prefix(String endpoint, long prefixHash, boolean held);
+		void prefixReported(String endpoint, long prefixHash, boolean held);
 
 	}
 
--- a/daemon/src/main/java/org/acaciacourse/daemon/endpoint/EngineStarts.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/endpoint/EngineStartTimes.java
@@ -13,7 +13,7 @@
  * <p>
  * Thread safe. The size is bounded by the number of engines in the manifest.
  */
-public final class EngineStarts {
+public final class EngineStartTimes {
 
 	private final Map<String, Long> startTimes = new ConcurrentHashMap<>();
 
@@ -22,7 +22,7 @@
 	 * @param base the base address of the engine
 	 * @param startedMillis the start time in milliseconds since the epoch
 	 */
-	public void note(String base, long startedMillis) {
+	public void put(String base, long startedMillis) {
 		this.startTimes.put(base, startedMillis);
 	}
 
@@ -31,7 +31,7 @@
 	 * @param base the base address of the engine
 	 * @return the start time in milliseconds since the epoch, if one was reported
 	 */
-	public OptionalLong of(String base) {
+	public OptionalLong get(String base) {
 		Long known = this.startTimes.get(base);
 		return (known != null) ? OptionalLong.of(known) : OptionalLong.empty();
 	}
--- a/daemon/src/main/java/org/acaciacourse/daemon/endpoint/RunQuestion.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/endpoint/RequestStatusClient.java
@@ -17,11 +17,11 @@
  * <p>
  * Stateless and thread safe.
  */
-public final class RunQuestion {
+public final class RequestStatusClient {
 
 	private static final ObjectMapper JSON = new ObjectMapper();
 
-	private RunQuestion() {
+	private RequestStatusClient() {
 	}
 
 	/**
@@ -31,8 +31,8 @@
 	 * @param id the id of the attempt
 	 * @return the status; never completes exceptionally
 	 */
-	public static CompletionStage<Reply> ask(EndpointClient client, String base, String id) {
-		return client.ask("GET", base + "/v1/requests/" + id).handle(RunQuestion::parseStatus);
+	public static CompletionStage<RequestStatus> queryStatus(EndpointClient client, String base, String id) {
+		return client.request("GET", base + "/v1/requests/" + id).handle(RequestStatusClient::parseStatus);
 	}
 
 	/**
@@ -43,7 +43,7 @@
 	 * @param id the id of the attempt
 	 */
 	public static void cancel(EndpointClient client, String base, String id) {
-		client.ask("POST", base + "/v1/requests/" + id + "/cancel");
+		client.request("POST", base + "/v1/requests/" + id + "/cancel");
 	}
 
 	/**
@@ -53,8 +53,8 @@
 	 * @return the start time in milliseconds since the epoch, if the engine reports it;
 	 * never completes exceptionally
 	 */
-	public static CompletionStage<OptionalLong> started(EndpointClient client, String base) {
-		return client.ask("GET", base + "/load").handle((response, failure) -> parseStartTime(response));
+	public static CompletionStage<OptionalLong> queryStartTime(EndpointClient client, String base) {
+		return client.request("GET", base + "/load").handle((response, failure) -> parseStartTime(response));
 	}
 
 	private static OptionalLong parseStartTime(Response response) {
@@ -70,20 +70,20 @@
 		}
 	}
 
-	private static Reply parseStatus(Response response, Throwable failure) {
+	private static RequestStatus parseStatus(Response response, Throwable failure) {
 		if (failure != null) {
 			Throwable cause = (failure instanceof CompletionException) ? failure.getCause() : failure;
-			return new Reply((cause instanceof ConnectException) ? Kind.DOWN : Kind.NO_ANSWER, 0);
+			return new RequestStatus((cause instanceof ConnectException) ? Kind.DOWN : Kind.NO_RESPONSE, 0);
 		}
 		if (response.getStatusCode() != 200) {
-			return new Reply(Kind.NOT_TOLD, 0);
+			return new RequestStatus(Kind.NOT_REPORTED, 0);
 		}
 		try {
 			JsonNode json = JSON.readTree(response.getResponseBodyAsBytes());
-			return new Reply(Kind.ofState(json.path("state").asText()), json.path("tokens").asLong());
+			return new RequestStatus(Kind.ofState(json.path("state").asText()), json.path("tokens").asLong());
 		}
 		catch (IOException ex) {
-			return new Reply(Kind.NOT_TOLD, 0);
+			return new RequestStatus(Kind.NOT_REPORTED, 0);
 		}
 	}
 
@@ -93,7 +93,7 @@
 	 * @param kind the kind of status
 	 * @param tokens the number of tokens generated
 	 */
-	public record Reply(Kind kind, long tokens) {
+	public record RequestStatus(Kind kind, long tokens) {
 	}
 
 	/**
@@ -105,10 +105,10 @@
 		DOWN,
 
 		/** The query failed without a response, for example by a timeout. */
-		NO_ANSWER,
+		NO_RESPONSE,
 
 		/** The endpoint responded, but without a valid request status. */
-		NOT_TOLD,
+		NOT_REPORTED,
 
 		/** The engine does not know the request. */
 		UNKNOWN,
@@ -132,7 +132,7 @@
 				case "running" -> RUNNING;
 				case "finished" -> FINISHED;
 				case "cancelled" -> CANCELLED;
-				default -> NOT_TOLD;
+				default -> NOT_REPORTED;
 			};
 		}
 
--- a/daemon/src/main/java/org/acaciacourse/daemon/entry/ActiveRequest.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/entry/ActiveRequest.java
@@ -13,8 +13,8 @@
 import io.opentelemetry.api.trace.Span;
 import org.acaciacourse.core.code.ResultCode;
 import org.acaciacourse.core.code.RunState;
-import org.acaciacourse.core.delivery.AnswerSequence;
-import org.acaciacourse.core.delivery.RunLedger;
+import org.acaciacourse.core.delivery.ResponseTokenSequence;
+import org.acaciacourse.core.delivery.RunStateTracker;
 import org.acaciacourse.core.dispatch.AttemptOutcome;
 import org.acaciacourse.core.dispatch.DispatchActions;
 import org.acaciacourse.core.dispatch.RequestInfo;
@@ -55,9 +55,9 @@
 
 	private final RequestTelemetry telemetry;
 
-	private final RunLedger runStateTracker = new RunLedger();
+	private final RunStateTracker runStateTracker = new RunStateTracker();
 
-	private final AnswerSequence tokenSequence = new AnswerSequence();
+	private final ResponseTokenSequence tokenSequence = new ResponseTokenSequence();
 
 	private final Map<Long, EndpointAttempt> attempts = new LinkedHashMap<>();
 
@@ -90,7 +90,7 @@
 		this.telemetry = telemetry;
 		this.responseWriter = new CallerResponseWriter(response, telemetry.requestId(), plan.claim().isPresent());
 		this.claim = plan.claim().map((key) -> new RequestClaim(key, plan.content().digest(), context, this));
-		response.onGone(this::callerGone);
+		response.onDisconnect(this::callerGone);
 		response.onWritable(this::resumeReading);
 	}
 
@@ -118,11 +118,11 @@
 		return this.telemetry.span();
 	}
 
-	RunLedger runStateTracker() {
+	RunStateTracker runStateTracker() {
 		return this.runStateTracker;
 	}
 
-	AnswerSequence tokenSequence() {
+	ResponseTokenSequence tokenSequence() {
 		return this.tokenSequence;
 	}
 
@@ -141,7 +141,7 @@
 	void submitToDispatcher() {
 		if (this.done) {
 			this.claim
-				.ifPresent((requestClaim) -> requestClaim.completeWithoutResponse(this.runStateTracker.mayRunAgain()));
+				.ifPresent((requestClaim) -> requestClaim.completeWithoutResponse(this.runStateTracker.mayRetry()));
 			return;
 		}
 		this.submitted = this.context.dispatchLoop().submitArrival(this);
@@ -223,7 +223,7 @@
 			this.responseWriter.refuse(Refusal.of(reported, this.runStateTracker.state(), retryAfter));
 			this.telemetry.failed(reported);
 			this.claim
-				.ifPresent((requestClaim) -> requestClaim.completeWithoutResponse(this.runStateTracker.mayRunAgain()));
+				.ifPresent((requestClaim) -> requestClaim.completeWithoutResponse(this.runStateTracker.mayRetry()));
 		}
 		removeUnlessClaimed();
 	}
@@ -236,7 +236,7 @@
 	 * @param eventData the event
 	 * @return what to do with the token
 	 */
-	AnswerSequence.Verdict acceptToken(EndpointAttempt attempt, EndpointExchange exchange, long index,
+	ResponseTokenSequence.Verdict acceptToken(EndpointAttempt attempt, EndpointExchange exchange, long index,
 			EndpointExchange.EventData eventData) {
 		this.telemetry.tokensReceived(1);
 		if (exchange.tokenCount() == 1) {
@@ -246,11 +246,11 @@
 			this.forwardedAttempt = attempt;
 		}
 		if (this.forwardedAttempt != attempt) {
-			return AnswerSequence.Verdict.FOREIGN;
+			return ResponseTokenSequence.Verdict.DISCARD;
 		}
-		this.tokenSequence.follow(exchange.number());
-		AnswerSequence.Verdict verdict = this.tokenSequence.token(exchange.number(), index);
-		if (verdict == AnswerSequence.Verdict.PASS) {
+		this.tokenSequence.switchToAttempt(exchange.number());
+		ResponseTokenSequence.Verdict verdict = this.tokenSequence.token(exchange.number(), index);
+		if (verdict == ResponseTokenSequence.Verdict.FORWARD) {
 			this.telemetry.firstTokenForwarded();
 			this.responseWriter.appendEvent(index, eventData, exchange.idMatcher().length());
 		}
@@ -271,7 +271,7 @@
 		markDone();
 		if (exchange.isStream()) {
 			this.responseWriter.endStream();
-			this.telemetry.completed(this.tokenSequence.passedOn());
+			this.telemetry.completed(this.tokenSequence.forwardedTokens());
 		}
 		else {
 			this.telemetry.tokensReceived(exchange.tokenCount());
@@ -291,8 +291,8 @@
 	 * @param outcome how it ended
 	 */
 	void recordExchangeEnd(EndpointExchange exchange, EndpointExchange.Outcome outcome) {
-		if (exchange.call().maySent()) {
-			this.runStateTracker.mayReach(exchange.number());
+		if (exchange.call().mayHaveBeenSent()) {
+			this.runStateTracker.beforeSend(exchange.number());
 		}
 		switch (outcome) {
 			case REFUSED, CANNOT_RESUME -> this.runStateTracker.refused(exchange.number(), exchange.number());
@@ -339,7 +339,7 @@
 	 * @return whether the request may be repeated or can't have run yet
 	 */
 	boolean mayRun() {
-		return this.claim.isEmpty() || this.runStateTracker.mayRunAgain();
+		return this.claim.isEmpty() || this.runStateTracker.mayRetry();
 	}
 
 	/**
--- a/daemon/src/main/java/org/acaciacourse/daemon/entry/CallerResponseWriter.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/entry/CallerResponseWriter.java
@@ -196,7 +196,7 @@
 		}
 		int status = exchange.responseHead().status();
 		this.storedResponse = new StoredResponse(status, contentType, body);
-		this.response.answer(status, headers, body);
+		this.response.send(status, headers, body);
 	}
 
 	private byte[] withRequestId(EndpointExchange exchange) {
@@ -222,7 +222,7 @@
 		if (this.response.isStarted()) {
 			return false;
 		}
-		this.response.answer(stored.status(), headers(stored.contentType()), stored.body());
+		this.response.send(stored.status(), headers(stored.contentType()), stored.body());
 		return true;
 	}
 
--- a/daemon/src/main/java/org/acaciacourse/daemon/entry/Configuration.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/entry/Configuration.java
@@ -27,7 +27,7 @@
 	static Configuration of(Manifest manifest, Optional<Configuration> previous) {
 		Map<String, Customer> index = new HashMap<>();
 		manifest.customers().values().forEach((c) -> c.keyDigests().forEach((digest) -> index.put(digest, c)));
-		long epoch = previous.filter((p) -> p.manifest.policyInForce().equals(manifest.policyInForce()))
+		long epoch = previous.filter((p) -> p.manifest.policySelection().equals(manifest.policySelection()))
 			.map(Configuration::epoch)
 			.orElse(manifest.number());
 		return new Configuration(manifest, epoch, Map.copyOf(index));
--- a/daemon/src/main/java/org/acaciacourse/daemon/entry/DispatchLoop.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/entry/DispatchLoop.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.Function;
 
-import org.acaciacourse.core.code.LineBudget;
+import org.acaciacourse.core.code.LogRateLimiter;
 import org.acaciacourse.core.code.ResultCode;
 import org.acaciacourse.core.dispatch.AttemptOutcome;
 import org.acaciacourse.core.dispatch.DispatchActions;
@@ -50,7 +50,8 @@
 	/** Bounds the log volume in an overload, when nearly every request is refused. */
 	private static final int MAX_REFUSAL_LINES_PER_SECOND = 10;
 
-	private final LineBudget refusalLogLimiter = new LineBudget(MAX_REFUSAL_LINES_PER_SECOND, System.nanoTime());
+	private final LogRateLimiter refusalLogLimiter = new LogRateLimiter(MAX_REFUSAL_LINES_PER_SECOND,
+			System.nanoTime());
 
 	private final MpscArrayQueue<DispatchEvent> eventQueue = new MpscArrayQueue<>(QUEUE_CAPACITY);
 
@@ -111,7 +112,7 @@
 		}
 		submit((d, now) -> {
 			this.requests.put(request.id(), request);
-			d.arrive(request.info(), now);
+			d.requestArrived(request.info(), now);
 		});
 		return true;
 	}
@@ -152,7 +153,7 @@
 			if (outcome == AttemptOutcome.COMPLETE) {
 				this.requests.remove(requestId);
 			}
-			d.ended(attemptId, outcome, now);
+			d.attemptEnded(attemptId, outcome, now);
 		});
 	}
 
@@ -223,7 +224,7 @@
 		Endpoint endpoint = this.endpoints.get(attempt.endpoint());
 		if (request == null || endpoint == null) {
 			AttemptOutcome outcome = (request != null) ? AttemptOutcome.NOT_SENT : AttemptOutcome.CANCELLED;
-			this.localEvents.add((d, now) -> d.ended(attempt.id(), outcome, now));
+			this.localEvents.add((d, now) -> d.attemptEnded(attempt.id(), outcome, now));
 			return;
 		}
 		this.requestsByAttempt.put(attempt.id(), request);
@@ -234,7 +235,7 @@
 	public void cancel(long attemptId) {
 		ActiveRequest request = this.requestsByAttempt.get(attemptId);
 		if (request == null) {
-			this.localEvents.add((d, now) -> d.ended(attemptId, AttemptOutcome.CANCELLED, now));
+			this.localEvents.add((d, now) -> d.attemptEnded(attemptId, AttemptOutcome.CANCELLED, now));
 			return;
 		}
 		request.executor().execute(() -> request.cancelAttempt(attemptId));
@@ -249,10 +250,10 @@
 	}
 
 	@Override
-	public void unreachable(long requestId, TargetEstimate estimate) {
-		this.refusalLogLimiter.next(System.nanoTime())
+	public void targetUnreachable(long requestId, TargetEstimate estimate) {
+		this.refusalLogLimiter.tryAcquire(System.nanoTime())
 			.ifPresent((suppressed) -> DecisionLog.write(LogEvent.TARGET_REFUSED, requestId, millis(estimate.waited()),
-					millis(estimate.expectedWait()), millis(estimate.leastTime()), millis(estimate.target()),
+					millis(estimate.expectedWait()), millis(estimate.minServiceTime()), millis(estimate.target()),
 					estimate.ahead(), estimate.running(), estimate.healthy(), estimate.slots(),
 					millis(estimate.meanDuration()), suppressed));
 	}
--- a/daemon/src/main/java/org/acaciacourse/daemon/entry/EndpointAttempt.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/entry/EndpointAttempt.java
@@ -14,7 +14,7 @@
 import org.acaciacourse.core.dispatch.DispatchActions;
 import org.acaciacourse.core.model.Endpoint;
 import org.acaciacourse.daemon.endpoint.EndpointCall;
-import org.acaciacourse.daemon.endpoint.RunQuestion;
+import org.acaciacourse.daemon.endpoint.RequestStatusClient;
 import org.acaciacourse.daemon.telemetry.Traces;
 
 /**
@@ -76,7 +76,7 @@
 		this.context = context;
 		this.attempt = attempt;
 		this.endpoint = endpoint;
-		this.span = context.traces().child("attempt", request.span());
+		this.span = context.traces().startChildSpan("attempt", request.span());
 		this.span.setAttribute("endpoint", endpoint.name()).setAttribute("policy", attempt.policy());
 	}
 
@@ -85,7 +85,7 @@
 	}
 
 	void start() {
-		long forwarded = this.request.tokenSequence().passedOn();
+		long forwarded = this.request.tokenSequence().forwardedTokens();
 		if (forwarded == 0) {
 			runFromStart();
 		}
@@ -121,7 +121,7 @@
 	}
 
 	private void resume() {
-		long forwarded = this.request.tokenSequence().passedOn();
+		long forwarded = this.request.tokenSequence().forwardedTokens();
 		Map<String, String> headers = Map.of("x-resume-of", this.request.resumeSource(), "x-resume-from",
 				Long.toString(forwarded));
 		sendRequest(headers, forwarded, true);
@@ -132,7 +132,7 @@
 		long number = this.request.nextExchangeNumber();
 		String exchangeId = this.request.requestId() + "." + number;
 		this.exchange = new EndpointExchange(this, plan, number, exchangeId, firstTokenIndex, this.request.executor());
-		this.exchangeSpan = this.context.traces().child("endpoint", this.span);
+		this.exchangeSpan = this.context.traces().startChildSpan("endpoint", this.span);
 		Map<String, String> headers = new TreeMap<>(plan.outboundRequest().headers());
 		headers.put("x-request-id", exchangeId);
 		headers.put("x-priority", Integer.toString(this.attempt.enginePriority()));
@@ -144,8 +144,8 @@
 			headers.put("traceparent", traceparent);
 		}
 		headers.putAll(extraHeaders);
-		this.request.runStateTracker().begin(number);
-		this.engineStart = this.context.engineStarts().of(baseUrl());
+		this.request.runStateTracker().attemptStarted(number);
+		this.engineStart = this.context.engineStarts().get(baseUrl());
 		this.lastProgressAt = System.nanoTime();
 		startStallTimer();
 		this.context.client()
@@ -165,7 +165,7 @@
 		}
 		boolean sent = closeExchange();
 		if (sent && this.request.plan().isModel()) {
-			RunQuestion.cancel(this.context.client(), baseUrl(), this.exchange.exchangeId());
+			RequestStatusClient.cancel(this.context.client(), baseUrl(), this.exchange.exchangeId());
 		}
 		end(AttemptOutcome.CANCELLED, ResultCode.OK);
 	}
@@ -173,7 +173,7 @@
 	private boolean closeExchange() {
 		boolean sent = this.exchange.close();
 		if (sent) {
-			this.request.runStateTracker().mayReach(this.exchange.number());
+			this.request.runStateTracker().beforeSend(this.exchange.number());
 			this.request.setResumeSource(this.exchange);
 		}
 		return sent;
@@ -203,11 +203,11 @@
 			return true;
 		}
 		return switch (this.request.acceptToken(this, source, index, eventData)) {
-			case PASS -> {
+			case FORWARD -> {
 				this.forwardedTokens++;
 				yield true;
 			}
-			case SKIP, FOREIGN -> true;
+			case SKIP, DISCARD -> true;
 			case GAP -> false;
 		};
 	}
@@ -234,7 +234,7 @@
 			return;
 		}
 		long id = this.attempt.id();
-		DispatchEvent event = (d, now) -> d.tokens(id, this.unreportedTokens.getAndSet(0), now);
+		DispatchEvent event = (d, now) -> d.tokensReceived(id, this.unreportedTokens.getAndSet(0), now);
 		if (this.firstTokenReported) {
 			this.context.dispatchLoop().submitWithoutWakeup(event);
 		}
@@ -266,7 +266,7 @@
 			}
 			case ERROR -> end(AttemptOutcome.LOST, ResultCode.ENDPOINT_ERROR);
 			case MISMATCH -> {
-				this.context.metrics().answerDiscarded();
+				this.context.metrics().responseDiscarded();
 				handleBroken(ResultCode.ANSWER_MISMATCH);
 			}
 			case BROKEN -> handleBroken(ResultCode.ENDPOINT_LOST);
@@ -295,7 +295,7 @@
 
 	private void handleBroken(ResultCode code) {
 		queryStatus((reply) -> {
-			if (!this.request.plan().isModel() && reply.kind() != RunQuestion.Kind.DOWN) {
+			if (!this.request.plan().isModel() && reply.kind() != RequestStatusClient.Kind.DOWN) {
 				end(AttemptOutcome.LOST, code);
 				return;
 			}
@@ -303,7 +303,7 @@
 				case DOWN -> end(AttemptOutcome.CRASHED, code);
 				case QUEUED, RUNNING, FINISHED, CANCELLED -> resumeOrEnd(AttemptOutcome.LOST, code);
 				case UNKNOWN -> handleUnknown(code);
-				case NO_ANSWER -> checkRestarted(code, System.nanoTime() + RESTART_CHECK_NANOS);
+				case NO_RESPONSE -> checkRestarted(code, System.nanoTime() + RESTART_CHECK_NANOS);
 				default -> end(AttemptOutcome.LOST, code);
 			}
 		});
@@ -324,7 +324,7 @@
 	// one engine after another. An engine that does not respond yet is queried again, as
 	// it may be restarting.
 	private void checkRestarted(ResultCode code, long retryUntil) {
-		RunQuestion.started(this.context.client(), baseUrl()).whenCompleteAsync((started, failure) -> {
+		RequestStatusClient.queryStartTime(this.context.client(), baseUrl()).whenCompleteAsync((started, failure) -> {
 			if (started.isEmpty() && this.engineStart.isPresent() && System.nanoTime() < retryUntil) {
 				this.request.executor()
 					.schedule(() -> checkRestarted(code, retryUntil), RESTART_CHECK_INTERVAL_MILLIS,
@@ -343,18 +343,19 @@
 			resume();
 		}
 		else {
-			RunQuestion.cancel(this.context.client(), baseUrl(), this.exchange.exchangeId());
+			RequestStatusClient.cancel(this.context.client(), baseUrl(), this.exchange.exchangeId());
 			end(fallbackOutcome, code);
 		}
 	}
 
-	private void queryStatus(java.util.function.Consumer<RunQuestion.Reply> action) {
+	private void queryStatus(java.util.function.Consumer<RequestStatusClient.RequestStatus> action) {
 		EndpointExchange queried = this.exchange;
-		RunQuestion.ask(this.context.client(), baseUrl(), queried.exchangeId()).whenCompleteAsync((reply, failure) -> {
-			if (!this.done && queried == this.exchange) {
-				action.accept(reply);
-			}
-		}, this.request.executor());
+		RequestStatusClient.queryStatus(this.context.client(), baseUrl(), queried.exchangeId())
+			.whenCompleteAsync((reply, failure) -> {
+				if (!this.done && queried == this.exchange) {
+					action.accept(reply);
+				}
+			}, this.request.executor());
 	}
 
 	private void startStallTimer() {
@@ -391,12 +392,12 @@
 		});
 	}
 
-	private void handleStall(RunQuestion.Reply reply) {
+	private void handleStall(RequestStatusClient.RequestStatus reply) {
 		switch (reply.kind()) {
 			case DOWN -> giveUp(AttemptOutcome.CRASHED);
-			case NO_ANSWER -> giveUp(AttemptOutcome.SILENT);
+			case NO_RESPONSE -> giveUp(AttemptOutcome.SILENT);
 			case UNKNOWN, CANCELLED -> giveUp(AttemptOutcome.LOST);
-			case QUEUED, NOT_TOLD -> keepWaiting();
+			case QUEUED, NOT_REPORTED -> keepWaiting();
 			case FINISHED -> reconnect();
 			case RUNNING -> handleRunning(reply.tokens());
 		}
--- a/daemon/src/main/java/org/acaciacourse/daemon/entry/EndpointExchange.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/entry/EndpointExchange.java
@@ -116,12 +116,12 @@
 	}
 
 	@Override
-	public void paused() {
+	public void readingPaused() {
 		this.owner.paused();
 	}
 
 	@Override
-	public void head(EndpointCall from, EndpointCall.Head received) {
+	public void headReceived(EndpointCall from, EndpointCall.Head received) {
 		if (this.closed) {
 			return;
 		}
@@ -155,7 +155,7 @@
 	}
 
 	@Override
-	public void readable(EndpointCall from) {
+	public void chunksAvailable(EndpointCall from) {
 		boolean any = false;
 		while (this.closed || this.owner.isWritable()) {
 			Optional<byte[]> chunk = this.call.poll();
@@ -173,7 +173,7 @@
 
 	/** Resume reading when the caller is writable again. */
 	void resumeReading() {
-		readable(this.call);
+		chunksAvailable(this.call);
 	}
 
 	private void processChunk(byte[] chunk) {
@@ -224,16 +224,16 @@
 	}
 
 	@Override
-	public void ended(EndpointCall from, boolean complete) {
+	public void callEnded(EndpointCall from, boolean complete) {
 		this.callEnd = Optional.of(complete);
-		readable(from);
+		chunksAvailable(from);
 	}
 
 	private void finishIfDrained() {
 		if (this.closed || this.callEnd.isEmpty() || !this.owner.isWritable()) {
 			return;
 		}
-		if (!this.call.maySent()) {
+		if (!this.call.mayHaveBeenSent()) {
 			finish(Outcome.NOT_SENT);
 		}
 		else if (this.mode == Mode.STREAM) {
--- a/daemon/src/main/java/org/acaciacourse/daemon/entry/EntryCommand.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/entry/EntryCommand.java
@@ -52,7 +52,7 @@
 			return ResultCode.ADDRESS_IN_USE;
 		}
 		signal.await();
-		return daemon.stop(signal::isRepeated);
+		return daemon.stop(signal::isForced);
 	}
 
 }
--- a/daemon/src/main/java/org/acaciacourse/daemon/entry/EntryContext.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/entry/EntryContext.java
@@ -1,7 +1,7 @@
 package org.acaciacourse.daemon.entry;
 
 import org.acaciacourse.daemon.endpoint.EndpointClient;
-import org.acaciacourse.daemon.endpoint.EngineStarts;
+import org.acaciacourse.daemon.endpoint.EngineStartTimes;
 import org.acaciacourse.daemon.link.ControlLink;
 import org.acaciacourse.daemon.telemetry.EntryMetrics;
 import org.acaciacourse.daemon.telemetry.Traces;
@@ -21,5 +21,5 @@
  * @param activeRequests the requests that have not ended
  */
 record EntryContext(DispatchLoop dispatchLoop, EndpointClient client, ControlLink link, EntryMetrics metrics,
-		Traces traces, StallTimeouts stallTimeouts, EngineStarts engineStarts, ActiveRequests activeRequests) {
+		Traces traces, StallTimeouts stallTimeouts, EngineStartTimes engineStarts, ActiveRequests activeRequests) {
 }
--- a/daemon/src/main/java/org/acaciacourse/daemon/entry/EntryDaemon.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/entry/EntryDaemon.java
@@ -27,8 +27,8 @@
 import org.acaciacourse.daemon.cli.StopWait;
 import org.acaciacourse.daemon.endpoint.EndpointClient;
 import org.acaciacourse.daemon.endpoint.EndpointPoller;
-import org.acaciacourse.daemon.endpoint.EngineStarts;
-import org.acaciacourse.daemon.http.HttpFront;
+import org.acaciacourse.daemon.endpoint.EngineStartTimes;
+import org.acaciacourse.daemon.http.NettyHttpServer;
 import org.acaciacourse.daemon.link.ControlLink;
 import org.acaciacourse.daemon.telemetry.AdminServer;
 import org.acaciacourse.daemon.telemetry.EntryMetrics;
@@ -70,7 +70,7 @@
 
 	private final EntryRequestHandler requestHandler;
 
-	private final HttpFront front;
+	private final NettyHttpServer front;
 
 	private final CountDownLatch ready = new CountDownLatch(1);
 
@@ -90,7 +90,7 @@
 	}
 
 	EntryDaemon(Settings settings, ControlLink link, Function<DispatchActions, Dispatcher> dispatcher, Traces traces) {
-		EngineStarts engineStarts = new EngineStarts();
+		EngineStartTimes engineStarts = new EngineStartTimes();
 		this.settings = settings;
 		this.link = link;
 		this.traces = traces;
@@ -100,7 +100,7 @@
 		this.poller = new EndpointPoller(this.client, engineStarts, new EngineReportListener());
 		this.requestHandler = new EntryRequestHandler(new EntryContext(this.dispatchLoop, this.client, link,
 				this.metrics, this.traces, new StallTimeouts(), engineStarts, this.activeRequests));
-		this.front = new HttpFront(settings, this.eventLoops, this.requestHandler);
+		this.front = new NettyHttpServer(settings, this.eventLoops, this.requestHandler);
 	}
 
 	// Callers and endpoints share the event loops, so that most tokens are forwarded
@@ -185,12 +185,12 @@
 	 */
 	public ResultCode stop(BooleanSupplier force) throws InterruptedException {
 		this.stopping = true;
-		this.link.leaving();
-		this.front.closeAfterAnswers();
+		this.link.announceLeaving();
+		this.front.closeAfterResponses();
 		StopWait.until(force, this.settings.duration(SettingKey.ENTRY_STOP_DELAY), () -> false);
 		this.front.stopAccepting();
 		boolean drained = StopWait.until(force, this.settings.duration(SettingKey.ENTRY_DRAIN_LIMIT),
-				() -> this.activeRequests.count() == 0 && this.front.isIdle());
+				() -> this.activeRequests.count() == 0 && this.front.isFlushed());
 		if (!drained) {
 			abortRemaining();
 		}
@@ -205,7 +205,7 @@
 			request.executor().execute(request::abortForShutdown);
 		});
 		StopWait.until(() -> false, Duration.ofSeconds(1),
-				() -> this.activeRequests.count() == 0 && this.front.isIdle());
+				() -> this.activeRequests.count() == 0 && this.front.isFlushed());
 	}
 
 	private void close() {
@@ -223,7 +223,7 @@
 	// has just started knows only a few of them, and with its count the limits would be
 	// many times too high, so the highest recent count is used.
 	private void updateEntryCount(int entryCount) {
-		this.entryCounts.told(entryCount, System.nanoTime());
+		this.entryCounts.update(entryCount, System.nanoTime());
 		int highest = this.entryCounts.highest();
 		this.dispatchLoop.submit((d, now) -> d.entryCount(highest, now));
 	}
@@ -234,15 +234,15 @@
 		this.drainedByManifest = next.drainedVms().contains(this.settings.text(SettingKey.VM_NAME));
 		this.dispatchLoop.configure(configuration);
 		this.requestHandler.configure(configuration);
-		this.poller.endpoints(engineAddresses(next));
-		this.metrics.configuration(next.number());
+		this.poller.setEndpoints(engineAddresses(next));
+		this.metrics.configurationActivated(next.number());
 	}
 
 	private static Map<String, String> engineAddresses(Manifest manifest) {
 		return manifest.endpoints()
 			.values()
 			.stream()
-			.filter((endpoint) -> manifest.endpointSets().get(endpoint.set()).kind() == EndpointSet.Kind.MODEL)
+			.filter((endpoint) -> manifest.endpointSets().get(endpoint.endpointSet()).kind() == EndpointSet.Kind.MODEL)
 			.collect(Collectors.toMap(Endpoint::name, (endpoint) -> "http://" + endpoint.address().getAuthority()));
 	}
 
@@ -250,7 +250,7 @@
 	private final class ControlListener implements ControlLink.Listener {
 
 		@Override
-		public void manifest(Manifest next) {
+		public void manifestChanged(Manifest next) {
 			applyManifest(next);
 		}
 
@@ -261,23 +261,23 @@
 		}
 
 		@Override
-		public void endpointStatus(String endpoint, EndpointStatus status) {
+		public void endpointStatusChanged(String endpoint, EndpointStatus status) {
 			EntryDaemon.this.dispatchLoop.submit((d, now) -> d.endpointStatus(endpoint, status, now));
 		}
 
 		@Override
-		public void crash(long contentHash, int crashes) {
+		public void crashReported(long contentHash, int crashes) {
 			// Content that was suspected before this VM started has been blocked or
 			// cleared by now. If it were handled as new, each restart would set
 			// endpoints aside to run old suspects in isolation.
-			if (EntryDaemon.this.ready.getCount() > 0 && crashes < SuspectTable.CONVICTION) {
+			if (EntryDaemon.this.ready.getCount() > 0 && crashes < SuspectTable.BLOCKING_CRASHES) {
 				return;
 			}
-			EntryDaemon.this.dispatchLoop.submit((d, now) -> d.suspect(contentHash, crashes, now));
+			EntryDaemon.this.dispatchLoop.submit((d, now) -> d.suspectReported(contentHash, crashes, now));
 		}
 
 		@Override
-		public void entryCount(int count) {
+		public void entryCountChanged(int count) {
 			updateEntryCount(count);
 		}
 
@@ -292,12 +292,12 @@
 	private final class EngineReportListener implements EndpointPoller.Listener {
 
 		@Override
-		public void load(String endpoint, LoadReport report) {
+		public void loadReported(String endpoint, LoadReport report) {
 			EntryDaemon.this.dispatchLoop.submit((d, now) -> d.loadReport(endpoint, report, now));
 		}
 
 		@Override
-		public void prefix(String endpoint, long prefixHash, boolean held) {
+		public void prefixReported(String endpoint, long prefixHash, boolean held) {
 			EntryDaemon.this.dispatchLoop.submit((d, now) -> d.prefixEvent(endpoint, prefixHash, held, now));
 		}
 
--- a/daemon/src/main/java/org/acaciacourse/daemon/entry/EntryRequestHandler.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/entry/EntryRequestHandler.java
@@ -62,7 +62,7 @@
 
 	@Override
 	public void refused(ResultCode code) {
-		this.context.metrics().refused(code, "");
+		this.context.metrics().requestRefused(code, "");
 	}
 
 	@Override
@@ -82,7 +82,7 @@
 	private void handle(CallerRequest request, CallerResponse response, Customer customer, Identity identity,
 			Configuration current) {
 		if (request.path().equals(RequestPlanner.MODELS_PATH) && request.method().equals("GET")) {
-			response.answer(200, Map.of("content-type", "application/json", "x-request-id", identity.requestId),
+			response.send(200, Map.of("content-type", "application/json", "x-request-id", identity.requestId),
 					modelList(customer, current.manifest()));
 			return;
 		}
@@ -94,9 +94,9 @@
 	private void start(CallerRequest request, CallerResponse response, RequestPlan plan, Identity identity,
 			Configuration current) {
 		String requestClass = plan.requestClass().name();
-		String policy = current.manifest().policyInForce().choose(plan.content().hash() ^ identity.id);
-		EntryMetrics.RequestMeter meter = this.context.metrics().meter(requestClass, policy, current.epoch());
-		Span span = this.context.traces().incoming("caller", request.header("traceparent").orElse(""));
+		String policy = current.manifest().policySelection().choose(plan.content().hash() ^ identity.id);
+		EntryMetrics.RequestMeter meter = this.context.metrics().requestArrived(requestClass, policy, current.epoch());
+		Span span = this.context.traces().startServerSpan("caller", request.header("traceparent").orElse(""));
 		RequestTelemetry telemetry = new RequestTelemetry(identity.requestId, plan, meter, this.context.traces(), span);
 		ActiveRequest activeRequest = new ActiveRequest(identity.id, plan, this.context, response, telemetry);
 		if (this.context.activeRequests().add(activeRequest)) {
--- a/daemon/src/main/java/org/acaciacourse/daemon/entry/RequestClaim.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/entry/RequestClaim.java
@@ -37,7 +37,7 @@
 
 	/** Request the claim from the control VMs. */
 	void acquire() {
-		Span span = this.context.traces().child("claim", this.request.span());
+		Span span = this.context.traces().startChildSpan("claim", this.request.span());
 		this.context.link()
 			.claim(this.key, this.digest, Traces.traceparent(span))
 			.whenCompleteAsync((result, failure) -> {
@@ -57,7 +57,7 @@
 			this.request.submitToDispatcher();
 		}
 		else if (result.code() == ResultCode.OK && result.outcome() == ClaimOutcome.ANSWERED) {
-			result.answer()
+			result.response()
 				.flatMap(StoredResponse::decode)
 				.ifPresentOrElse(this.request::replay,
 						() -> this.request.claimRefused(ResultCode.CLAIM_ANSWER_NOT_KEPT, RunState.RUN));
--- a/daemon/src/main/java/org/acaciacourse/daemon/entry/RequestTelemetry.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/entry/RequestTelemetry.java
@@ -41,7 +41,7 @@
 		this.plan = plan;
 		this.meter = meter;
 		this.span = span;
-		this.queueSpan = traces.child("queue", span);
+		this.queueSpan = traces.startChildSpan("queue", span);
 		span.setAttribute("request", requestId);
 		span.setAttribute("customer", plan.customer().name());
 		span.setAttribute("class", plan.requestClass().name());
@@ -57,11 +57,11 @@
 
 	void attemptStarted() {
 		this.queueSpan.end();
-		this.meter.attemptBegins();
+		this.meter.attemptStarted();
 	}
 
 	void attemptEnded() {
-		this.meter.attemptEnds();
+		this.meter.attemptEnded();
 	}
 
 	void tokensReceived(long tokens) {
@@ -71,7 +71,7 @@
 	void firstTokenForwarded() {
 		if (this.firstTokenAt == 0) {
 			this.firstTokenAt = System.nanoTime();
-			this.meter.firstToken(Duration.ofNanos(this.firstTokenAt - this.arrivedAt));
+			this.meter.firstTokenForwarded(Duration.ofNanos(this.firstTokenAt - this.arrivedAt));
 		}
 	}
 
@@ -81,19 +81,19 @@
 		long measuredAt = (target.kind() == LatencyTarget.Kind.FIRST_TOKEN && this.firstTokenAt != 0)
 				? this.firstTokenAt : end;
 		boolean targetMet = measuredAt - this.arrivedAt <= target.limit().toNanos();
-		this.meter.answered(Duration.ofNanos(end - this.arrivedAt), targetMet, tokens);
-		this.meter.wasted(this.receivedTokens - tokens);
+		this.meter.responseCompleted(Duration.ofNanos(end - this.arrivedAt), targetMet, tokens);
+		this.meter.tokensWasted(this.receivedTokens - tokens);
 		finish(ResultCode.OK);
 	}
 
 	void replayed() {
-		this.meter.answered(Duration.ofNanos(System.nanoTime() - this.arrivedAt), true, 0);
+		this.meter.responseCompleted(Duration.ofNanos(System.nanoTime() - this.arrivedAt), true, 0);
 		finish(ResultCode.OK);
 	}
 
 	void failed(ResultCode code) {
-		this.meter.failed(code);
-		this.meter.wasted(this.receivedTokens);
+		this.meter.requestFailed(code);
+		this.meter.tokensWasted(this.receivedTokens);
 		finish(code);
 	}
 
--- a/daemon/src/main/java/org/acaciacourse/daemon/http/CallerResponse.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/http/CallerResponse.java
@@ -65,7 +65,7 @@
 	 * Set the action to run if the caller disconnects before the response has ended.
 	 * @param action the action
 	 */
-	public void onGone(Runnable action) {
+	public void onDisconnect(Runnable action) {
 		this.disconnectAction = action;
 	}
 
@@ -99,10 +99,10 @@
 	 * @param headers the headers
 	 * @param body the body
 	 */
-	public void answer(int status, Map<String, String> headers, byte[] body) {
+	public void send(int status, Map<String, String> headers, byte[] body) {
 		HttpHeaders all = new DefaultHttpHeaders();
 		headers.forEach(all::set);
-		answer(status, all, body);
+		send(status, all, body);
 	}
 
 	/**
@@ -111,7 +111,7 @@
 	 * @param headers the headers; a name may occur more than once
 	 * @param body the body
 	 */
-	public void answer(int status, HttpHeaders headers, byte[] body) {
+	public void send(int status, HttpHeaders headers, byte[] body) {
 		if (this.ended || this.started) {
 			return;
 		}
@@ -136,7 +136,7 @@
 			headers.put("x-request-id", requestId);
 		}
 		refusal.retryAfterSeconds().ifPresent((seconds) -> headers.put("retry-after", seconds));
-		answer(refusal.code().httpStatus(), headers, refusal.bytes());
+		send(refusal.code().httpStatus(), headers, refusal.bytes());
 	}
 
 	/**
--- a/daemon/src/main/java/org/acaciacourse/daemon/http/HttpFront.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/http/NettyHttpServer.java
@@ -29,7 +29,7 @@
  * <p>
  * Thread safe. Requests are handled on the event loop of their connection.
  */
-public final class HttpFront {
+public final class NettyHttpServer {
 
 	private static final long TLS_CHECK_SECONDS = 2;
 
@@ -58,7 +58,7 @@
 	 * @param workers the event loops of the connections
 	 * @param handler handles the requests
 	 */
-	public HttpFront(Settings settings, EventLoopGroup workers, RequestHandler handler) {
+	public NettyHttpServer(Settings settings, EventLoopGroup workers, RequestHandler handler) {
 		this(settings.address(SettingKey.ENTRY_LISTEN), fixed(HttpLimits.of(settings)), Optional.of(settings), workers,
 				new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("accept"), NioIoHandler.newFactory()),
 				handler);
@@ -72,7 +72,7 @@
 	 * @param workers the event loops, which the owner shuts down
 	 * @param handler handles the requests
 	 */
-	public HttpFront(InetSocketAddress address, Supplier<HttpLimits> limits, EventLoopGroup workers,
+	public NettyHttpServer(InetSocketAddress address, Supplier<HttpLimits> limits, EventLoopGroup workers,
 			RequestHandler handler) {
 		this(address, limits, Optional.empty(), workers, workers, handler);
 	}
@@ -91,7 +91,7 @@
 		return socket;
 	}
 
-	private HttpFront(InetSocketAddress address, Supplier<HttpLimits> limits, Optional<Settings> tlsSettings,
+	private NettyHttpServer(InetSocketAddress address, Supplier<HttpLimits> limits, Optional<Settings> tlsSettings,
 			EventLoopGroup workers, EventLoopGroup acceptors, RequestHandler handler) {
 		this.address = address;
 		this.limits = limits;
@@ -157,7 +157,7 @@
 	}
 
 	/** Close each open connection after its next response. */
-	public void closeAfterAnswers() {
+	public void closeAfterResponses() {
 		this.limiter.channels().forEach(ConnectionLimiter::markClosing);
 	}
 
@@ -196,8 +196,8 @@
 	 * Return whether no connection has data waiting to be written to its caller.
 	 * @return whether all bytes of the responses were written to the sockets
 	 */
-	public boolean isIdle() {
-		return this.limiter.channels().stream().allMatch(HttpFront::hasNoPendingBytes);
+	public boolean isFlushed() {
+		return this.limiter.channels().stream().allMatch(NettyHttpServer::hasNoPendingBytes);
 	}
 
 	private static boolean hasNoPendingBytes(Channel connection) {
--- a/daemon/src/main/java/org/acaciacourse/daemon/inner/InnerConnection.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/inner/InternalConnection.java
@@ -23,7 +23,7 @@
  * <p>
  * Not thread safe: one call at a time.
  */
-public final class InnerConnection implements AutoCloseable {
+public final class InternalConnection implements AutoCloseable {
 
 	/** Service name of the replica service in the multiplexed protocol. */
 	static final String REPLICA_SERVICE = "replica";
@@ -45,7 +45,7 @@
 
 	private final ReplicaService.Client replica;
 
-	private InnerConnection(TTransport transport) {
+	private InternalConnection(TTransport transport) {
 		this.transport = transport;
 		TProtocol protocol = ThriftBytes.protocol().getProtocol(transport);
 		this.control = new ControlService.Client(new TMultiplexedProtocol(protocol, CONTROL_SERVICE));
@@ -59,13 +59,13 @@
 	 * @return the connection
 	 * @throws TTransportException if the connection cannot be established
 	 */
-	public static InnerConnection open(String address, Duration timeout) throws TTransportException {
+	public static InternalConnection open(String address, Duration timeout) throws TTransportException {
 		InetSocketAddress parsed = parse(address);
 		TSocket socket = new TSocket(ThriftBytes.bounds(), parsed.getAddress().getHostAddress(), parsed.getPort(),
 				(int) timeout.toMillis(), CONNECT_TIMEOUT_MILLIS);
 		TTransport transport = new TFramedTransport(socket, ThriftBytes.MAX_BYTES);
 		transport.open();
-		return new InnerConnection(transport);
+		return new InternalConnection(transport);
 	}
 
 	/**
--- a/daemon/src/main/java/org/acaciacourse/daemon/inner/InnerServer.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/inner/InternalServer.java
@@ -26,7 +26,7 @@
  * <p>
  * Thread safe.
  */
-public final class InnerServer implements AutoCloseable {
+public final class InternalServer implements AutoCloseable {
 
 	private static final int MAX_CONNECTIONS = 1200;
 
@@ -47,12 +47,12 @@
 	 * @param control the service for entry VMs and operators
 	 * @throws TTransportException if the socket can't be used
 	 */
-	public InnerServer(ServerSocket listener, ReplicaService.Iface replica, ControlService.Iface control)
+	public InternalServer(ServerSocket listener, ReplicaService.Iface replica, ControlService.Iface control)
 			throws TTransportException {
 		this.socket = new TrackingServerSocket(listener);
 		TMultiplexedProcessor processor = new TMultiplexedProcessor();
-		processor.registerProcessor(InnerConnection.REPLICA_SERVICE, new ReplicaService.Processor<>(replica));
-		processor.registerProcessor(InnerConnection.CONTROL_SERVICE, new ControlService.Processor<>(control));
+		processor.registerProcessor(InternalConnection.REPLICA_SERVICE, new ReplicaService.Processor<>(replica));
+		processor.registerProcessor(InternalConnection.CONTROL_SERVICE, new ControlService.Processor<>(control));
 		String name = "inner-" + listener.getLocalPort();
 		TThreadPoolServer.Args args = new TThreadPoolServer.Args(this.socket).processor(processor)
 			.protocolFactory(ThriftBytes.protocol())
