--- a/daemon/src/main/java/org/acaciacourse/daemon/link/ConfigurationFollower.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/link/ConfigurationFollower.java
@@ -109,14 +109,14 @@
 		}
 		else if (count > 0) {
 			this.entryCount = count;
-			this.listener.entryCount(count);
+			this.listener.entryCountChanged(count);
 		}
 	}
 
 	private void applyPeers(PollReply reply) {
 		LoadPeersCodec.read(reply, this.peersRevision).ifPresent((peers) -> {
 			this.peersRevision = reply.getPeersRevision();
-			this.listener.peers(peers);
+			this.listener.peersReceived(peers);
 		});
 	}
 
@@ -141,8 +141,8 @@
 
 	private Optional<Runnable> notificationOf(ManifestDocument next, long newNumber) {
 		Either<List<Problem>, Runnable> notification = (RouteTableParser.isRouting(next))
-				? this.routeTableParser.parse(next).map((table) -> () -> this.listener.routes(table))
-				: ManifestParser.manifest(next).map((manifest) -> () -> this.listener.manifest(manifest));
+				? this.routeTableParser.parse(next).map((table) -> () -> this.listener.routesChanged(table))
+				: ManifestParser.manifest(next).map((manifest) -> () -> this.listener.manifestChanged(manifest));
 		if (notification.isLeft()) {
 			LOGGER.error("manifest {} is not valid for this version, keeping the previous one: {}", newNumber,
 					notification.getLeft());
@@ -155,7 +155,7 @@
 			this.fleet = new Fleet(reply.getFleetRevision(), FleetCodec.decode(reply.getFleet()));
 		}
 		if (reply.getFleetRevision() != 0 && reply.getFleetRevision() == this.fleet.revision()) {
-			this.listener.fleet(this.fleet);
+			this.listener.fleetReceived(this.fleet);
 		}
 	}
 
@@ -181,7 +181,7 @@
 	}
 
 	private void applyCrashes(PollReply reply) {
-		reply.getCrashes().forEach((crash) -> this.listener.crash(crash.getContentHash(), crash.getCrashes()));
+		reply.getCrashes().forEach((crash) -> this.listener.crashReported(crash.getContentHash(), crash.getCrashes()));
 		this.crashRevision = Math.max(this.crashRevision, reply.getCrashRevision());
 	}
 
@@ -197,7 +197,7 @@
 		for (String name : names) {
 			EndpointStatus status = newStatuses.getOrDefault(name, EndpointStatus.LIVE);
 			if (status != this.statuses.getOrDefault(name, EndpointStatus.LIVE)) {
-				this.listener.endpointStatus(name, status);
+				this.listener.endpointStatusChanged(name, status);
 			}
 		}
 		this.statuses.clear();
--- a/daemon/src/main/java/org/acaciacourse/daemon/link/ConfigurationPoller.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/link/ConfigurationPoller.java
@@ -10,7 +10,7 @@
 import java.util.function.Supplier;
 
 import org.acaciacourse.core.code.ResultCode;
-import org.acaciacourse.daemon.inner.InnerConnection;
+import org.acaciacourse.daemon.inner.InternalConnection;
 import org.acaciacourse.protocol.generated.ClassReport;
 import org.acaciacourse.protocol.generated.PollReply;
 import org.acaciacourse.protocol.generated.PollRequest;
@@ -64,7 +64,7 @@
 	/** The control VMs named in the settings, then those reported by control VMs. */
 	private volatile List<String> controls;
 
-	private Optional<InnerConnection> connection = Optional.empty();
+	private Optional<InternalConnection> connection = Optional.empty();
 
 	private int controlIndex;
 
@@ -103,7 +103,7 @@
 
 	private void sendLeaving() {
 		for (String address : this.controls) {
-			try (InnerConnection direct = InnerConnection.open(address, CALL_TIMEOUT)) {
+			try (InternalConnection direct = InternalConnection.open(address, CALL_TIMEOUT)) {
 				PollRequest request = new PollRequest(this.options.vm(), this.runId, this.options.dataCentre(), 0, "",
 						0, 0, List.of(), false, true, 0, "");
 				direct.control().poll(this.options.key().text(), request);
@@ -134,7 +134,8 @@
 	private boolean pollOnce() throws InterruptedException {
 		try {
 			if (this.connection.isEmpty()) {
-				this.connection = Optional.of(InnerConnection.open(this.controls.get(this.controlIndex), CALL_TIMEOUT));
+				this.connection = Optional
+					.of(InternalConnection.open(this.controls.get(this.controlIndex), CALL_TIMEOUT));
 			}
 			boolean latestRequested = !this.latestConfirmed;
 			PollReply reply = this.connection.get().control().poll(this.options.key().text(), request(latestRequested));
@@ -185,7 +186,7 @@
 	}
 
 	private void disconnect() {
-		this.connection.ifPresent(InnerConnection::close);
+		this.connection.ifPresent(InternalConnection::close);
 		this.connection = Optional.empty();
 	}
 
--- a/daemon/src/main/java/org/acaciacourse/daemon/link/ControlLink.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/link/ControlLink.java
@@ -34,7 +34,7 @@
 	/**
 	 * Notify the control VMs that this VM is leaving.
 	 */
-	void leaving();
+	void announceLeaving();
 
 	/**
 	 * Claim a request that must not be repeated. The stage never completes exceptionally:
@@ -73,9 +73,9 @@
 	 * sent
 	 * @param code {@link ResultCode#OK} if granted or already answered, else the reason
 	 * @param outcome the state of the first request with the key
-	 * @param answer the stored response, if there is one
+	 * @param response the stored response, if there is one
 	 */
-	record ClaimResult(boolean granted, ResultCode code, ClaimOutcome outcome, Optional<byte[]> answer) {
+	record ClaimResult(boolean granted, ResultCode code, ClaimOutcome outcome, Optional<byte[]> response) {
 	}
 
 	/**
@@ -87,13 +87,13 @@
 		 * A newer configuration is in force.
 		 * @param manifest the manifest
 		 */
-		void manifest(Manifest manifest);
+		void manifestChanged(Manifest manifest);
 
 		/**
 		 * A newer route table is in force.
 		 * @param table the table
 		 */
-		default void routes(RouteTable table) {
+		default void routesChanged(RouteTable table) {
 		}
 
 		/**
@@ -101,14 +101,14 @@
 		 * confirms it.
 		 * @param fleet the fleet
 		 */
-		default void fleet(Fleet fleet) {
+		default void fleetReceived(Fleet fleet) {
 		}
 
 		/**
 		 * The live entry VMs were reported. They may be the same as before.
 		 * @param peers the other entry VMs that receive load digests
 		 */
-		default void peers(List<LoadPeer> peers) {
+		default void peersReceived(List<LoadPeer> peers) {
 		}
 
 		/**
@@ -122,20 +122,20 @@
 		 * @param endpoint the name of the endpoint
 		 * @param status the new status
 		 */
-		void endpointStatus(String endpoint, EndpointStatus status);
+		void endpointStatusChanged(String endpoint, EndpointStatus status);
 
 		/**
 		 * A request content is proven to crash endpoints.
 		 * @param contentHash the hash of the customer and the content
 		 * @param crashes the number of proven crashes
 		 */
-		void crash(long contentHash, int crashes);
+		void crashReported(long contentHash, int crashes);
 
 		/**
 		 * The number of entry VMs that share the limits of customers changed.
 		 * @param count the number of live entry VMs, at least 1
 		 */
-		void entryCount(int count);
+		void entryCountChanged(int count);
 
 		/**
 		 * A control VM reported the number of entry VMs again, unchanged.
--- a/daemon/src/main/java/org/acaciacourse/daemon/link/LeaderCallExecutor.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/link/LeaderCallExecutor.java
@@ -43,7 +43,7 @@
 	}
 
 	private void run(List<String> addresses) {
-		try (LeaderCaller client = new LeaderCaller(addresses)) {
+		try (LeaderClient client = new LeaderClient(addresses)) {
 			while (!Thread.currentThread().isInterrupted()) {
 				runOne(this.queue.take(), client);
 			}
@@ -53,7 +53,7 @@
 		}
 	}
 
-	private static void runOne(Task task, LeaderCaller client) throws InterruptedException {
+	private static void runOne(Task task, LeaderClient client) throws InterruptedException {
 		try {
 			task.run(client);
 		}
@@ -71,7 +71,7 @@
 	@FunctionalInterface
 	interface Task {
 
-		void run(LeaderCaller client) throws InterruptedException;
+		void run(LeaderClient client) throws InterruptedException;
 
 	}
 
--- a/daemon/src/main/java/org/acaciacourse/daemon/link/LeaderCaller.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/link/LeaderClient.java
@@ -6,7 +6,7 @@
 import java.util.function.Function;
 
 import org.acaciacourse.core.code.ResultCode;
-import org.acaciacourse.daemon.inner.InnerConnection;
+import org.acaciacourse.daemon.inner.InternalConnection;
 import org.acaciacourse.protocol.generated.ControlService;
 import org.acaciacourse.protocol.generated.Result;
 import org.apache.thrift.TException;
@@ -18,7 +18,7 @@
  * <p>
  * Not thread safe: used by one thread only.
  */
-public final class LeaderCaller implements AutoCloseable {
+public final class LeaderClient implements AutoCloseable {
 
 	private static final Duration CALL_TIMEOUT = Duration.ofSeconds(2);
 
@@ -30,13 +30,13 @@
 
 	private String address;
 
-	private Optional<InnerConnection> connection = Optional.empty();
+	private Optional<InternalConnection> connection = Optional.empty();
 
 	/**
 	 * Create a client.
 	 * @param addresses the addresses of the control VMs, at least one
 	 */
-	public LeaderCaller(List<String> addresses) {
+	public LeaderClient(List<String> addresses) {
 		this.addresses = List.copyOf(addresses);
 		this.address = this.addresses.get(0);
 	}
@@ -76,7 +76,7 @@
 	private <T> Optional<T> attempt(Call<T> call) {
 		try {
 			if (this.connection.isEmpty()) {
-				this.connection = Optional.of(InnerConnection.open(this.address, CALL_TIMEOUT));
+				this.connection = Optional.of(InternalConnection.open(this.address, CALL_TIMEOUT));
 			}
 			return Optional.of(call.execute(this.connection.get().control()));
 		}
@@ -100,7 +100,7 @@
 
 	@Override
 	public void close() {
-		this.connection.ifPresent(InnerConnection::close);
+		this.connection.ifPresent(InternalConnection::close);
 		this.connection = Optional.empty();
 	}
 
--- a/daemon/src/main/java/org/acaciacourse/daemon/link/LinkOptions.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/link/LinkOptions.java
@@ -5,7 +5,7 @@
 
 import org.acaciacourse.core.settings.SettingKey;
 import org.acaciacourse.core.settings.Settings;
-import org.acaciacourse.daemon.inner.InnerConnection;
+import org.acaciacourse.daemon.inner.InternalConnection;
 import org.acaciacourse.daemon.inner.SharedKey;
 
 /**
@@ -49,7 +49,7 @@
 	public static LinkOptions of(Settings settings) {
 		List<String> controls = settings.addresses(SettingKey.ENTRY_CONTROLS)
 			.stream()
-			.map(InnerConnection::format)
+			.map(InternalConnection::format)
 			.toList();
 		return new LinkOptions(settings.text(SettingKey.VM_NAME), settings.text(SettingKey.VM_DATA_CENTRE), controls,
 				new SharedKey(settings.text(SettingKey.INNER_KEY)));
--- a/daemon/src/main/java/org/acaciacourse/daemon/link/ThriftControlLink.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/link/ThriftControlLink.java
@@ -83,7 +83,7 @@
 	}
 
 	@Override
-	public synchronized void leaving() {
+	public synchronized void announceLeaving() {
 		this.poller.ifPresent(ConfigurationPoller::leaving);
 	}
 
--- a/daemon/src/main/java/org/acaciacourse/daemon/operator/ControlClient.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/operator/ControlClient.java
@@ -8,7 +8,7 @@
 import org.acaciacourse.core.code.ResultCode;
 import org.acaciacourse.core.manifest.ManifestDocument;
 import org.acaciacourse.daemon.codec.ManifestCodec;
-import org.acaciacourse.daemon.link.LeaderCaller;
+import org.acaciacourse.daemon.link.LeaderClient;
 import org.acaciacourse.protocol.generated.ApplyReply;
 import org.acaciacourse.protocol.generated.ApplyRequest;
 import org.acaciacourse.protocol.generated.Result;
@@ -25,12 +25,12 @@
 
 	private static final Duration CALL_TIMEOUT = Duration.ofSeconds(15);
 
-	private final LeaderCaller client;
+	private final LeaderClient client;
 
 	private final String key;
 
 	ControlClient(List<String> controls, String key) {
-		this.client = new LeaderCaller(controls);
+		this.client = new LeaderClient(controls);
 		this.key = key;
 	}
 
--- a/daemon/src/main/java/org/acaciacourse/daemon/order/EngineOrderClient.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/order/EngineOrderClient.java
@@ -39,7 +39,7 @@
 	 * @return the state; fails if it cannot be read
 	 */
 	CompletionStage<EngineState> read(String base) {
-		return this.client.ask("GET", base + PATH).thenApply(EngineOrderClient::parseState);
+		return this.client.request("GET", base + PATH).thenApply(EngineOrderClient::parseState);
 	}
 
 	private static EngineState parseState(Response response) {
--- a/daemon/src/main/java/org/acaciacourse/daemon/order/LeaseGate.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/order/LeaseGate.java
@@ -22,7 +22,7 @@
 	}
 
 	synchronized OptionalLong requestIfDue() {
-		return this.holder.request(System.nanoTime());
+		return this.holder.requestIfDue(System.nanoTime());
 	}
 
 	synchronized void granted(long request, long fencingNumber) {
--- a/daemon/src/main/java/org/acaciacourse/daemon/order/OrderWriterLoop.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/order/OrderWriterLoop.java
@@ -18,10 +18,10 @@
 import org.acaciacourse.core.order.DesiredEngine;
 import org.acaciacourse.core.order.EngineOrder;
 import org.acaciacourse.core.order.EngineState;
+import org.acaciacourse.core.order.ModelLoadBudget;
 import org.acaciacourse.core.order.OrderActions;
 import org.acaciacourse.core.order.OrderTiming;
 import org.acaciacourse.core.order.OrderWriter;
-import org.acaciacourse.core.order.WeightBudget;
 import org.acaciacourse.core.state.CommandResult.LeaseResult;
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
@@ -88,7 +88,7 @@
 		this.manifests = manifests;
 		this.timing = timing;
 		this.writer = new OrderWriter(timing,
-				new WeightBudget(MAX_CONCURRENT_LOADS, LOADS_PER_SECOND, System.nanoTime()), new Sender());
+				new ModelLoadBudget(MAX_CONCURRENT_LOADS, LOADS_PER_SECOND, System.nanoTime()), new Sender());
 	}
 
 	/** Start the loop. */
@@ -110,7 +110,7 @@
 		Optional<Manifest> next = this.manifests.get();
 		if (!next.equals(this.manifest)) {
 			this.manifest = next;
-			next.ifPresent((m) -> this.writer.desire(DesiredEngine.of(m), System.nanoTime()));
+			next.ifPresent((m) -> this.writer.updateDesired(DesiredEngine.of(m), System.nanoTime()));
 		}
 		this.lease.requestIfDue().ifPresent(this::askForLease);
 		OptionalLong number = this.lease.fencingNumber();
@@ -190,7 +190,7 @@
 			}
 			OrderWriterLoop.this.client.read(base.get()).whenCompleteAsync((state, failure) -> {
 				if (failure != null) {
-					OrderWriterLoop.this.writer.failed(endpoint, number, System.nanoTime());
+					OrderWriterLoop.this.writer.requestFailed(endpoint, number, System.nanoTime());
 				}
 				else {
 					handleState(endpoint, number, state);
@@ -221,23 +221,23 @@
 					order.endpoint(), order.fencingNumber(),
 					(failure != null) ? failure.toString() : (done) ? "done" : "refused");
 			if (failure != null) {
-				OrderWriterLoop.this.writer.failed(order.endpoint(), order.fencingNumber(), System.nanoTime());
+				OrderWriterLoop.this.writer.requestFailed(order.endpoint(), order.fencingNumber(), System.nanoTime());
 			}
 			else if (done) {
-				OrderWriterLoop.this.writer.done(order);
+				OrderWriterLoop.this.writer.orderCompleted(order);
 			}
 			else {
-				OrderWriterLoop.this.writer.fenced(order, System.nanoTime());
+				OrderWriterLoop.this.writer.orderRefused(order, System.nanoTime());
 			}
 		}
 
 		private void reportFailure(String endpoint, long number) {
 			OrderWriterLoop.this.executor
-				.execute(() -> OrderWriterLoop.this.writer.failed(endpoint, number, System.nanoTime()));
+				.execute(() -> OrderWriterLoop.this.writer.requestFailed(endpoint, number, System.nanoTime()));
 		}
 
 		@Override
-		public void outdated(String endpoint, long fencingNumber) {
+		public void higherFencingNumberSeen(String endpoint, long fencingNumber) {
 			logger.warn("{} endpoint {} has seen orders with a higher fencing number, {}", ResultCode.FENCED.number(),
 					endpoint, fencingNumber);
 		}
--- a/daemon/src/main/java/org/acaciacourse/daemon/route/Attempt.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/route/Attempt.java
@@ -127,7 +127,7 @@
 		long now = System.nanoTime();
 		String instance = this.endpoint.instance();
 		long silentMillis = TimeUnit.NANOSECONDS.toMillis(now - this.lastActivityAt);
-		PlacedRequest.Belief estimate = this.placed.belief(now);
+		PlacedRequest.Estimate estimate = this.placed.estimate(now);
 		DecisionLog.write(LogEvent.ATTEMPT_ENDED, this.exchange.request().metadata().id(), instance, end.name(),
 				TimeUnit.NANOSECONDS.toMillis(now - this.startedAt), (this.sentAt != 0) ? silentMillis : null,
 				estimate.running(), estimate.waitingWork(), Math.round(estimate.failureRate() * 100) / 100.0);
@@ -148,13 +148,13 @@
 
 	private void recordActivity() {
 		this.lastActivityAt = System.nanoTime();
-		this.placed.heard(this.lastActivityAt);
+		this.placed.recordActivity(this.lastActivityAt);
 	}
 
 	@Override
 	public void headReceived(HttpResponse head) {
 		recordActivity();
-		RequestDialect.AnswerFacts metadata = this.exchange.context().dialect().answer(head.headers());
+		RequestDialect.ResponseMetadata metadata = this.exchange.context().dialect().readResponse(head.headers());
 		metadata.load().ifPresent((load) -> this.placed.report(load.running(), load.waiting(), this.lastActivityAt));
 		metadata.idleTimeoutSeconds()
 			.ifPresent((seconds) -> this.exchange.context().connections().setIdleTimeout(this.endpoint, seconds));
@@ -319,7 +319,7 @@
 		long timeout = silenceTimeoutNanos();
 		long lastActivity = this.lastActivityAt;
 		if (isStreamRequest()) {
-			lastActivity = Math.max(lastActivity, this.placed.heardAt());
+			lastActivity = Math.max(lastActivity, this.placed.lastActivityAt());
 		}
 		long silentNanos = System.nanoTime() - lastActivity;
 		if (silentNanos < timeout) {
--- a/daemon/src/main/java/org/acaciacourse/daemon/route/EndpointConnections.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/route/EndpointConnections.java
@@ -22,7 +22,7 @@
 import jdk.net.ExtendedSocketOptions;
 import org.acaciacourse.core.balance.IdleLimit;
 import org.acaciacourse.core.route.FleetEndpoint;
-import org.acaciacourse.daemon.inner.InnerConnection;
+import org.acaciacourse.daemon.inner.InternalConnection;
 
 /**
  * The connections to the endpoints, kept by instance: an address may be reassigned to
@@ -107,7 +107,7 @@
 				}
 
 			});
-		InetSocketAddress address = InnerConnection.parse(endpoint.address());
+		InetSocketAddress address = InternalConnection.parse(endpoint.address());
 		bootstrap.connect(address)
 			.addListener((future) -> onReady
 				.accept((future.isSuccess()) ? Try.success(connection) : Try.failure(future.cause())));
--- a/daemon/src/main/java/org/acaciacourse/daemon/route/ExchangeTelemetry.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/route/ExchangeTelemetry.java
@@ -107,7 +107,7 @@
 			DecisionLog.write(LogEvent.REQUEST_ANSWERED, this.request.metadata().id(), this.request.route().name(),
 					this.request.pool(), this.request.urgency(), this.context.pools().tableNumber(),
 					millisUntil(this.placedAt), millisUntil(this.responseStartedAt), millisUntil(System.nanoTime()),
-					progress.tried().size(), this.sentUrgency, this.workAhead);
+					progress.triedInstances().size(), this.sentUrgency, this.workAhead);
 		}
 	}
 
@@ -119,13 +119,13 @@
 
 	private void logLate(RequestProgress progress) {
 		long now = System.nanoTime();
-		OptionalLong suppressed = this.context.lateLogLimiter().next(now);
+		OptionalLong suppressed = this.context.lateLogLimiter().tryAcquire(now);
 		if (suppressed.isPresent()) {
 			Route route = this.request.route();
 			DecisionLog.write(LogEvent.REQUEST_LATE, this.request.metadata().id(), route.name(), this.request.pool(),
 					this.request.urgency(), this.context.pools().tableNumber(), this.sentTo, millisUntil(this.placedAt),
 					millisUntil(this.sentAt), millisUntil(this.responseStartedAt),
-					TimeUnit.NANOSECONDS.toMillis(this.longestGap), millisUntil(now), progress.tried().size(),
+					TimeUnit.NANOSECONDS.toMillis(this.longestGap), millisUntil(now), progress.triedInstances().size(),
 					route.target().toMillis(), route.eventGap().toMillis(), suppressed.getAsLong(), this.sentUrgency,
 					this.workAhead);
 		}
@@ -144,7 +144,7 @@
 				progress.runState().label(), this.request.route().name(), this.request.pool(),
 				this.request.customer().orElse(null), this.request.urgency(), this.context.pools().tableNumber(),
 				Long.toHexString(this.context.pools().fleet().revision()), millisUntil(this.placedAt), millisUntil(now),
-				TimeUnit.NANOSECONDS.toMillis(this.deadlineAt - now), progress.tried().size(),
+				TimeUnit.NANOSECONDS.toMillis(this.deadlineAt - now), progress.triedInstances().size(),
 				(code.isRetryable()) ? retryAfter.toMillis() : null, this.sentUrgency, this.workAhead);
 		this.context.metrics().requestEnded(this.request.route(), this.request.pool(), code);
 	}
--- a/daemon/src/main/java/org/acaciacourse/daemon/route/HeldRequests.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/route/HeldRequests.java
@@ -63,7 +63,7 @@
 			this.held.remove(heldRequest);
 			refuse.run();
 		}, Math.min(MAX_HOLD_MILLIS, callerTimeoutMillis / CALLER_TIMEOUT_DIVISOR), TimeUnit.MILLISECONDS);
-		response.onGone(() -> {
+		response.onDisconnect(() -> {
 			heldRequest.timeout.cancel(false);
 			this.held.remove(heldRequest);
 		});
--- a/daemon/src/main/java/org/acaciacourse/daemon/route/LoadGossip.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/route/LoadGossip.java
@@ -22,9 +22,9 @@
 import org.acaciacourse.core.balance.LoadPeer;
 import org.acaciacourse.core.balance.RoutingMechanism;
 import org.acaciacourse.core.balance.RoutingParameter;
-import org.acaciacourse.core.code.LineBudget;
+import org.acaciacourse.core.code.LogRateLimiter;
 import org.acaciacourse.daemon.codec.LoadDigestCodec;
-import org.acaciacourse.daemon.inner.InnerConnection;
+import org.acaciacourse.daemon.inner.InternalConnection;
 import org.acaciacourse.daemon.telemetry.DecisionLog;
 import org.acaciacourse.daemon.telemetry.LogEvent;
 import org.apache.logging.log4j.LogManager;
@@ -53,7 +53,7 @@
 
 	private final Map<String, InetSocketAddress> addresses = new HashMap<>();
 
-	private final LineBudget dropLogLimiter = new LineBudget(MAX_DROP_LINES_PER_SECOND, System.nanoTime());
+	private final LogRateLimiter dropLogLimiter = new LogRateLimiter(MAX_DROP_LINES_PER_SECOND, System.nanoTime());
 
 	private Optional<String> relay = Optional.empty();
 
@@ -64,7 +64,7 @@
 	LoadGossip(EventLoop loop, PoolStates pools, LoadPeer self) {
 		this.loop = loop;
 		this.pools = pools;
-		this.address = InnerConnection.parse(self.address());
+		this.address = InternalConnection.parse(self.address());
 		// After a restart, sequence numbers start above those sent before.
 		this.exchange = new LoadExchange(self, pools.peers(), System.currentTimeMillis() * 1_000, System.nanoTime());
 	}
@@ -105,7 +105,7 @@
 	}
 
 	private void schedule() {
-		this.loop.schedule(this::tick, this.exchange.pauseMillis(), TimeUnit.MILLISECONDS);
+		this.loop.schedule(this::tick, this.exchange.intervalMillis(), TimeUnit.MILLISECONDS);
 	}
 
 	private void tick() {
@@ -114,13 +114,13 @@
 		}
 		long now = System.nanoTime();
 		if (isEnabled()) {
-			this.exchange.mostDirect((int) this.pools.policy().value(RoutingParameter.MOST_DIRECT_PEERS));
+			this.exchange.maxDirectPeers((int) this.pools.policy().value(RoutingParameter.MOST_DIRECT_PEERS));
 			this.exchange.tick(this.pools.localLoads(), this.pools.drainUnreportedUses(), now).forEach(this::send);
 			this.channel.flush();
 			logRelayChange();
 		}
 		else {
-			this.pools.peers().forgetSilent(now);
+			this.pools.peers().expireSilent(now);
 		}
 		schedule();
 	}
@@ -140,7 +140,7 @@
 	}
 
 	private InetSocketAddress resolve(String peer) {
-		return this.addresses.computeIfAbsent(peer, InnerConnection::parse);
+		return this.addresses.computeIfAbsent(peer, InternalConnection::parse);
 	}
 
 	@Override
@@ -149,7 +149,7 @@
 			return;
 		}
 		LoadDigestCodec.decode(ByteBufUtil.getBytes(packet.content()))
-			.andThen((digest) -> receive(InnerConnection.format(packet.sender()), digest))
+			.andThen((digest) -> receive(InternalConnection.format(packet.sender()), digest))
 			.onFailure((ex) -> logDropped(packet.sender(), ex));
 	}
 
@@ -158,13 +158,13 @@
 	}
 
 	private void receive(String sender, LoadDigest digest) {
-		if (this.exchange.take(sender, digest, System.nanoTime())) {
+		if (this.exchange.receive(sender, digest, System.nanoTime())) {
 			digest.uses().forEach(this.pools::recordPeerUse);
 		}
 	}
 
 	private void logDropped(InetSocketAddress sender, Throwable cause) {
-		this.dropLogLimiter.next(System.nanoTime())
+		this.dropLogLimiter.tryAcquire(System.nanoTime())
 			.ifPresent(
 					(suppressed) -> logger.warn("ignored invalid load digest from {} ({} earlier ones not logged): {}",
 							sender, suppressed, String.valueOf(cause)));
--- a/daemon/src/main/java/org/acaciacourse/daemon/route/PoolStates.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/route/PoolStates.java
@@ -41,7 +41,7 @@
 
 	private final EventLoop loop;
 
-	private final RetryRule retryBudget;
+	private final RetryBudgetOptions retryBudget;
 
 	private final Predicate<String> hasIdleConnection;
 
@@ -73,7 +73,7 @@
 	 * @param retryBudget the retry budget
 	 * @param hasIdleConnection returns whether there is an idle connection to an instance
 	 */
-	PoolStates(EventLoop loop, RetryRule retryBudget, Predicate<String> hasIdleConnection) {
+	PoolStates(EventLoop loop, RetryBudgetOptions retryBudget, Predicate<String> hasIdleConnection) {
 		this.loop = loop;
 		this.retryBudget = retryBudget;
 		this.hasIdleConnection = hasIdleConnection;
@@ -88,10 +88,10 @@
 		this.declaredPools = table.pools();
 		applySharers();
 		this.declaredPools.stream().filter(Pool::isEngine).forEach((pool) -> {
-			state(pool.name()).balancer().engineTokens(pool.engineTokens());
+			state(pool.name()).balancer().engineCacheTokens(pool.engineTokens());
 			Optional<Duration> shortest = table.shortestTarget(pool.name());
 			shortest.ifPresent((target) -> state(pool.name()).setShortestTarget(target));
-			table.shortestGap(pool.name())
+			table.shortestEventGap(pool.name())
 				.ifPresent((gap) -> state(pool.name()).balancer().shortestGap(gap.toMillis()));
 		});
 	}
@@ -146,7 +146,7 @@
 	 */
 	List<PeerLoads.Load> localLoads() {
 		List<PeerLoads.Load> all = new ArrayList<>();
-		this.states.values().forEach((state) -> all.addAll(state.balancer().own()));
+		this.states.values().forEach((state) -> all.addAll(state.balancer().localLoads()));
 		return all;
 	}
 
@@ -156,7 +156,10 @@
 	 * @return the uses of all pools since the last call
 	 */
 	List<PartUse> drainUnreportedUses() {
-		return this.states.values().stream().flatMap((state) -> state.balancer().takeUntold().stream()).toList();
+		return this.states.values()
+			.stream()
+			.flatMap((state) -> state.balancer().drainUnreportedUses().stream())
+			.toList();
 	}
 
 	/**
@@ -164,7 +167,7 @@
 	 * @param use the reported use
 	 */
 	void recordPeerUse(PartUse use) {
-		this.states.values().forEach((state) -> state.balancer().told(use));
+		this.states.values().forEach((state) -> state.balancer().recordPeerUse(use));
 	}
 
 	/**
@@ -174,7 +177,7 @@
 	 */
 	void updateEntryCount(int count) {
 		this.countedAt = System.nanoTime();
-		this.sharerCount.told(count, this.countedAt);
+		this.sharerCount.update(count, this.countedAt);
 		refreshSharers();
 	}
 
@@ -213,7 +216,7 @@
 		this.states.values().forEach((state) -> state.allowance().sharers(this.sharers));
 		int entries = Math.max(1, this.sharerCount.highest());
 		this.declaredPools.forEach((pool) -> state(pool.name()).balancer()
-			.connectionsEach((int) (pool.maxConnections() * CONNECTION_SHARE / entries)));
+			.maxConnectionsPerEndpoint((int) (pool.maxConnections() * CONNECTION_SHARE / entries)));
 	}
 
 	/**
@@ -241,7 +244,7 @@
 		Map<String, RouteGauges.Pool> gauges = new HashMap<>();
 		this.states.forEach((name, state) -> gauges.put(name,
 				new RouteGauges.Pool(state.queue().size(),
-						state.balancer().own().stream().mapToInt(PeerLoads.Load::inFlight).sum(),
+						state.balancer().localLoads().stream().mapToInt(PeerLoads.Load::inFlight).sum(),
 						state.allowance().left(now))));
 		return gauges;
 	}
--- a/daemon/src/main/java/org/acaciacourse/daemon/route/RequestDialect.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/route/RequestDialect.java
@@ -21,28 +21,28 @@
 	 * @param headers the headers of the request
 	 * @return the metadata; a value that can't be parsed counts as missing
 	 */
-	RequestFacts request(HttpHeaders headers);
+	RequestMetadata readRequest(HttpHeaders headers);
 
 	/**
 	 * Remove the headers that must not reach an endpoint: the customer's key and the
 	 * headers that the system sets itself, in case the caller sent them.
 	 * @param headers the headers, without hop-by-hop ones
 	 */
-	void clean(HttpHeaders headers);
+	void removeReservedHeaders(HttpHeaders headers);
 
 	/**
 	 * Add the system's metadata to the headers for an endpoint.
 	 * @param metadata the metadata
 	 * @param headers the headers, without reserved ones
 	 */
-	void write(SendFacts metadata, HttpHeaders headers);
+	void writeRequest(ForwardMetadata metadata, HttpHeaders headers);
 
 	/**
 	 * Read the metadata in an endpoint's response.
 	 * @param headers the headers of the response
 	 * @return the metadata
 	 */
-	AnswerFacts answer(HttpHeaders headers);
+	ResponseMetadata readResponse(HttpHeaders headers);
 
 	/**
 	 * Write the delay after which a caller should retry.
@@ -61,7 +61,7 @@
 	 * resumes a stream
 	 * @param prompt the prompt
 	 */
-	record RequestFacts(String id, Optional<String> key, OptionalLong callerTimeoutMillis, OptionalLong lastEventId,
+	record RequestMetadata(String id, Optional<String> key, OptionalLong callerTimeoutMillis, OptionalLong lastEventId,
 			PromptShape prompt) {
 	}
 
@@ -76,7 +76,7 @@
 	 * stream is resumed
 	 * @param engine whether the endpoint is a model engine
 	 */
-	record SendFacts(String instance, Optional<String> customer, long remainingMillis, int urgency,
+	record ForwardMetadata(String instance, Optional<String> customer, long remainingMillis, int urgency,
 			OptionalLong resumeAfter, boolean engine) {
 	}
 
@@ -90,7 +90,7 @@
 	 * @param idleTimeoutSeconds how long the endpoint keeps an idle connection, if it is
 	 * stated
 	 */
-	record AnswerFacts(String requestId, boolean sealed, boolean notRun, Optional<LoadFacts> load,
+	record ResponseMetadata(String requestId, boolean sealed, boolean notRun, Optional<ReportedLoad> load,
 			OptionalInt idleTimeoutSeconds) {
 	}
 
@@ -101,7 +101,7 @@
 	 * @param waiting the number of requests that wait
 	 * @param slots how many requests can run at once
 	 */
-	record LoadFacts(int running, int waiting, int slots) {
+	record ReportedLoad(int running, int waiting, int slots) {
 	}
 
 }
--- a/daemon/src/main/java/org/acaciacourse/daemon/route/RetryRule.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/route/RetryBudgetOptions.java
@@ -11,9 +11,9 @@
  * @param ratio retries permitted for each request in the window
  * @param minimum retries permitted in the window whatever the number of requests
  */
-public record RetryRule(Duration window, double ratio, double minimum) {
+public record RetryBudgetOptions(Duration window, double ratio, double minimum) {
 
-	public RetryRule {
+	public RetryBudgetOptions {
 		if (window.isZero() || window.isNegative() || ratio < 0 || minimum < 0) {
 			throw new IllegalArgumentException("invalid retry budget: window " + window + " must be positive, ratio "
 					+ ratio + " and minimum " + minimum + " must not be negative");
--- a/daemon/src/main/java/org/acaciacourse/daemon/route/RouteContext.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/route/RouteContext.java
@@ -3,7 +3,7 @@
 import java.util.Set;
 
 import io.netty.channel.EventLoop;
-import org.acaciacourse.core.code.LineBudget;
+import org.acaciacourse.core.code.LogRateLimiter;
 
 /**
  * Objects that all routed requests of an entry VM share.
@@ -19,5 +19,5 @@
  * @param lateLogLimiter limits the rate of log lines on late responses
  */
 record RouteContext(EventLoop loop, RequestDialect dialect, EndpointConnections connections, PoolStates pools,
-		RouteMetrics metrics, Set<RoutedExchange> openExchanges, LineBudget lateLogLimiter) {
+		RouteMetrics metrics, Set<RoutedExchange> openExchanges, LogRateLimiter lateLogLimiter) {
 }
--- a/daemon/src/main/java/org/acaciacourse/daemon/route/RouteDaemon.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/route/RouteDaemon.java
@@ -20,7 +20,7 @@
 import org.acaciacourse.core.balance.LoadPeer;
 import org.acaciacourse.core.balance.RoutingMechanism;
 import org.acaciacourse.core.balance.RoutingPolicy;
-import org.acaciacourse.core.code.LineBudget;
+import org.acaciacourse.core.code.LogRateLimiter;
 import org.acaciacourse.core.code.ResultCode;
 import org.acaciacourse.core.dispatch.EndpointStatus;
 import org.acaciacourse.core.model.Manifest;
@@ -31,8 +31,8 @@
 import org.acaciacourse.daemon.cli.StopWait;
 import org.acaciacourse.daemon.http.CallerRequest;
 import org.acaciacourse.daemon.http.CallerResponse;
-import org.acaciacourse.daemon.http.HttpFront;
 import org.acaciacourse.daemon.http.HttpLimits;
+import org.acaciacourse.daemon.http.NettyHttpServer;
 import org.acaciacourse.daemon.http.RequestHandler;
 import org.acaciacourse.daemon.link.ControlLink;
 import org.acaciacourse.daemon.telemetry.AdminServer;
@@ -85,9 +85,9 @@
 
 	private final RouteHandler handler;
 
-	private final HttpFront callerServer;
+	private final NettyHttpServer callerServer;
 
-	private final HttpFront readinessServer;
+	private final NettyHttpServer readinessServer;
 
 	private final FleetFallback fallback;
 
@@ -122,9 +122,9 @@
 		this.connections = new EndpointConnections(this.loop);
 		this.pools = new PoolStates(this.loop, options.retryBudget(), this.connections::hasIdle);
 		this.handler = new RouteHandler(new RouteContext(this.loop, dialect, this.connections, this.pools, this.metrics,
-				this.openExchanges, new LineBudget(MAX_LATE_LINES_PER_SECOND, System.nanoTime())));
-		this.callerServer = new HttpFront(options.listen(), () -> this.limits, this.eventLoops, this.handler);
-		this.readinessServer = new HttpFront(options.ready(), () -> this.limits, this.eventLoops,
+				this.openExchanges, new LogRateLimiter(MAX_LATE_LINES_PER_SECOND, System.nanoTime())));
+		this.callerServer = new NettyHttpServer(options.listen(), () -> this.limits, this.eventLoops, this.handler);
+		this.readinessServer = new NettyHttpServer(options.ready(), () -> this.limits, this.eventLoops,
 				new ReadinessHandler());
 		this.fallback = new FleetFallback(options.fleetSource(), (fleet) -> applyFleet(fleet, "list"));
 		this.gossip = options.loadPeer().map((self) -> new LoadGossip(this.loop, this.pools, self));
@@ -246,8 +246,8 @@
 		this.stopping = true;
 		DecisionLog.write(LogEvent.STOPPING,
 				this.loop.submit(this.openExchanges::size).awaitUninterruptibly().getNow());
-		this.controlLink.leaving();
-		this.callerServer.closeAfterAnswers();
+		this.controlLink.announceLeaving();
+		this.callerServer.closeAfterResponses();
 		StopWait.until(immediate, this.options.stopDelay(), () -> false);
 		this.callerServer.stopAccepting();
 		boolean drained = StopWait.until(immediate, this.options.drainLimit(), this::isIdle);
@@ -264,7 +264,7 @@
 	private boolean isIdle() {
 		boolean none = Boolean.TRUE
 			.equals(this.loop.submit(this.openExchanges::isEmpty).awaitUninterruptibly().getNow());
-		return none && this.callerServer.isIdle();
+		return none && this.callerServer.isFlushed();
 	}
 
 	private void close() {
@@ -297,13 +297,13 @@
 	private final class ControlListener implements ControlLink.Listener {
 
 		@Override
-		public void manifest(Manifest next) {
+		public void manifestChanged(Manifest next) {
 			logger.error("ignored manifest {}: it defines no routes, and this entry VM serves only routes",
 					next.number());
 		}
 
 		@Override
-		public void routes(RouteTable table) {
+		public void routesChanged(RouteTable table) {
 			RouteDaemon.this.limits = RouteDaemon.this.limits.with(table.limits());
 			RouteDaemon.this.loop.execute(() -> {
 				RouteDaemon.this.handler.table(table);
@@ -313,13 +313,13 @@
 		}
 
 		@Override
-		public void fleet(Fleet fleet) {
+		public void fleetReceived(Fleet fleet) {
 			RouteDaemon.this.fallback.fleetConfirmed(fleet);
 			applyFleet(fleet, "control");
 		}
 
 		@Override
-		public void peers(List<LoadPeer> peers) {
+		public void peersReceived(List<LoadPeer> peers) {
 			RouteDaemon.this.gossip
 				.ifPresent((loadGossip) -> RouteDaemon.this.loop.execute(() -> loadGossip.peers(peers)));
 		}
@@ -330,17 +330,17 @@
 		}
 
 		@Override
-		public void endpointStatus(String endpoint, EndpointStatus status) {
+		public void endpointStatusChanged(String endpoint, EndpointStatus status) {
 			logger.debug("ignored status of endpoint {}: {} (also reported with the fleet)", endpoint, status);
 		}
 
 		@Override
-		public void crash(long contentHash, int crashes) {
+		public void crashReported(long contentHash, int crashes) {
 			logger.debug("content with hash {} crashed {} endpoints", contentHash, crashes);
 		}
 
 		@Override
-		public void entryCount(int count) {
+		public void entryCountChanged(int count) {
 			RouteDaemon.this.loop.execute(() -> RouteDaemon.this.pools.updateEntryCount(count));
 		}
 
@@ -357,7 +357,7 @@
 		@Override
 		public void handle(CallerRequest request, CallerResponse response) {
 			int status = (isReady()) ? 200 : 503;
-			response.answer(status, Map.of(), new byte[0]);
+			response.send(status, Map.of(), new byte[0]);
 		}
 
 		@Override
--- a/daemon/src/main/java/org/acaciacourse/daemon/route/RouteHandler.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/route/RouteHandler.java
@@ -5,7 +5,7 @@
 import java.util.OptionalInt;
 
 import org.acaciacourse.core.balance.RoutingMechanism;
-import org.acaciacourse.core.code.RefusalMerger;
+import org.acaciacourse.core.code.RefusalLogAggregator;
 import org.acaciacourse.core.code.ResultCode;
 import org.acaciacourse.core.code.RunState;
 import org.acaciacourse.core.route.KeyOwner;
@@ -40,7 +40,7 @@
 	 */
 	private static final int MAX_REFUSAL_LINES_PER_SECOND = 10;
 
-	private final RefusalMerger refusalLog = new RefusalMerger(MAX_REFUSAL_LINES_PER_SECOND);
+	private final RefusalLogAggregator refusalLog = new RefusalLogAggregator(MAX_REFUSAL_LINES_PER_SECOND);
 
 	private final RouteContext context;
 
@@ -71,7 +71,7 @@
 	}
 
 	private void handle(CallerRequest request, CallerResponse response, long arrivedAt) {
-		RequestDialect.RequestFacts metadata = this.context.dialect().request(request.headers());
+		RequestDialect.RequestMetadata metadata = this.context.dialect().readRequest(request.headers());
 		if (this.table.isEmpty()) {
 			long callerTimeoutMillis = metadata.callerTimeoutMillis().orElse(Long.MAX_VALUE);
 			Runnable refusal = () -> refuse(request, response, ResultCode.NOT_READY, metadata);
@@ -92,7 +92,7 @@
 			return;
 		}
 		Optional<KeyOwner> owner = metadata.key().flatMap(this.table.get()::owner);
-		if (owner.isEmpty() && !route.get().anonymous() && this.table.get().isKeyed()) {
+		if (owner.isEmpty() && !route.get().anonymous() && this.table.get().requiresCustomerKey()) {
 			refuse(request, response, ResultCode.UNKNOWN_CUSTOMER, metadata);
 			return;
 		}
@@ -105,9 +105,9 @@
 	}
 
 	private void refuse(CallerRequest request, CallerResponse response, ResultCode code,
-			RequestDialect.RequestFacts metadata) {
+			RequestDialect.RequestMetadata metadata) {
 		this.context.metrics().requestRefused(code);
-		if (this.refusalLog.tell(code, metadata.id(), System.nanoTime())) {
+		if (this.refusalLog.shouldLog(code, metadata.id(), System.nanoTime())) {
 			DecisionLog.write(LogEvent.REQUEST_REFUSED, metadata.id(), code.number(), request.headers().get("host"),
 					request.path(), this.context.pools().tableNumber(),
 					(code.isRetryable()) ? RETRY_AFTER.toMillis() : null);
@@ -119,9 +119,9 @@
 	// Logs the summaries of refusals that were not logged individually; called once a
 	// second.
 	void logRefusalSummaries() {
-		this.refusalLog.due(System.nanoTime())
+		this.refusalLog.drainSummaries(System.nanoTime())
 			.forEach((summary) -> DecisionLog.write(LogEvent.REFUSALS_MERGED, summary.code().number(), summary.count(),
-					summary.requests()));
+					summary.requestIds()));
 	}
 
 	@Override
--- a/daemon/src/main/java/org/acaciacourse/daemon/route/RouteOptions.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/route/RouteOptions.java
@@ -28,8 +28,8 @@
  * @param policy the initial routing policy
  */
 public record RouteOptions(InetSocketAddress listen, InetSocketAddress ready, Optional<InetSocketAddress> metrics,
-		Optional<LoadPeer> loadPeer, RetryRule retryBudget, int maxConnections, Duration stopDelay, Duration drainLimit,
-		FleetSource fleetSource, RoutingPolicy policy) {
+		Optional<LoadPeer> loadPeer, RetryBudgetOptions retryBudget, int maxConnections, Duration stopDelay,
+		Duration drainLimit, FleetSource fleetSource, RoutingPolicy policy) {
 
 	public RouteOptions {
 		Objects.requireNonNull(listen, "listen");
--- a/daemon/src/main/java/org/acaciacourse/daemon/route/RoutedExchange.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/route/RoutedExchange.java
@@ -21,9 +21,9 @@
 import org.acaciacourse.core.attempt.RequestProgress;
 import org.acaciacourse.core.balance.Outcome;
 import org.acaciacourse.core.balance.Placement;
+import org.acaciacourse.core.balance.QueuePosition;
 import org.acaciacourse.core.balance.RoutingMechanism;
 import org.acaciacourse.core.balance.RoutingParameter;
-import org.acaciacourse.core.balance.Turn;
 import org.acaciacourse.core.code.ResultCode;
 import org.acaciacourse.core.code.RunState;
 import org.acaciacourse.core.route.FleetEndpoint;
@@ -90,7 +90,7 @@
 
 	private long unplacedSince;
 
-	private Turn queuePosition = Turn.BEFORE_OTHERS;
+	private QueuePosition queuePosition = QueuePosition.OVERTAKES_OTHERS;
 
 	/** Whether a retry of the budget is reserved for this request. */
 	private boolean retryReserved;
@@ -122,7 +122,7 @@
 		this.telemetry = new ExchangeTelemetry(context, request, this.startedAt, this.deadlineAt);
 		this.deadlineTimer = context.loop()
 			.schedule(this::timedOut, this.deadlineAt - System.nanoTime(), TimeUnit.NANOSECONDS);
-		response.onGone(this::callerGone);
+		response.onDisconnect(this::callerGone);
 	}
 
 	RouteContext context() {
@@ -152,7 +152,7 @@
 		if (this.done) {
 			return;
 		}
-		if (this.progress.isRepeat() && !reserveRetry()) {
+		if (this.progress.isRetry() && !reserveRetry()) {
 			fail(RETRY_BUDGET_EXHAUSTED);
 			return;
 		}
@@ -205,7 +205,7 @@
 		if (this.context.pools().fleet().revision() == 0) {
 			maxWaitNanos = FLEET_WAIT_NANOS;
 		}
-		boolean exhausted = this.pool.balancer().isExhausted(this.progress.tried());
+		boolean exhausted = this.pool.balancer().isExhausted(this.progress.triedInstances());
 		if (!exhausted && now - this.unplacedSince < maxWaitNanos) {
 			return false;
 		}
@@ -216,7 +216,7 @@
 
 	private Placement placement() {
 		return new Placement(this.request.metadata().prompt(), this.request.route().affinity(), this.brief,
-				this.request.idHash(), this.progress.tried());
+				this.request.idHash(), this.progress.triedInstances());
 	}
 
 	private void startAttempt(FleetEndpoint endpoint, Placement placement) {
@@ -224,20 +224,20 @@
 		Attempt attempt = new Attempt(this, endpoint,
 				this.pool.balancer().begin(endpoint.instance(), placement, this.queuePosition, System.nanoTime()));
 		this.current = Optional.of(attempt);
-		this.progress.begin(endpoint.instance());
+		this.progress.attemptStarted(endpoint.instance());
 		this.context.connections().acquire(endpoint, (result) -> connected(attempt, endpoint, result));
 	}
 
 	// A request that would be late in any case is deferred at its engine behind those
 	// that can still be in time. Otherwise, all requests would be late in an overload,
 	// each by as much as the callers tolerate.
-	private Turn queuePosition(FleetEndpoint endpoint) {
+	private QueuePosition queuePosition(FleetEndpoint endpoint) {
 		if (this.request.deferredUrgency().isEmpty()) {
-			return Turn.BEFORE_OTHERS;
+			return QueuePosition.OVERTAKES_OTHERS;
 		}
 		long left = this.startedAt + this.request.route().target().toNanos() - System.nanoTime();
 		boolean late = this.pool.balancer().isLate(endpoint.instance(), this.request.metadata().prompt(), left);
-		return (late) ? Turn.DEFERRED : Turn.AFTER_OTHERS;
+		return (late) ? QueuePosition.DEFERRED : QueuePosition.BEHIND_OTHERS;
 	}
 
 	private void connected(Attempt attempt, FleetEndpoint endpoint, Try<EndpointConnection> result) {
@@ -266,12 +266,12 @@
 			timedOut();
 			return;
 		}
-		if (this.progress.isRepeat() && !spendRetry(endpoint)) {
+		if (this.progress.isRetry() && !spendRetry(endpoint)) {
 			this.context.connections().release(endpoint, connection);
 			fail(RETRY_BUDGET_EXHAUSTED);
 			return;
 		}
-		this.progress.sent();
+		this.progress.beforeSend();
 		this.telemetry.sent(endpoint.instance(), urgency(), attempt.workAhead(), System.nanoTime());
 		attempt.send(connection, httpRequest(endpoint, remainingMillis));
 	}
@@ -297,13 +297,13 @@
 		}
 		boolean engine = this.context.pools().declaredPool(this.request.pool()).map(Pool::isEngine).orElse(false);
 		this.context.dialect()
-			.write(new RequestDialect.SendFacts(endpoint.instance(), this.request.customer(), remainingMillis,
-					urgency(), this.lastEventId, engine), headers);
+			.writeRequest(new RequestDialect.ForwardMetadata(endpoint.instance(), this.request.customer(),
+					remainingMillis, urgency(), this.lastEventId, engine), headers);
 		return httpRequest;
 	}
 
 	private int urgency() {
-		return (this.queuePosition == Turn.DEFERRED) ? this.request.deferredUrgency().orElseThrow()
+		return (this.queuePosition == QueuePosition.DEFERRED) ? this.request.deferredUrgency().orElseThrow()
 				: this.request.urgency();
 	}
 
@@ -317,9 +317,9 @@
 			return;
 		}
 		this.current = Optional.empty();
-		this.progress.ended(end);
+		this.progress.attemptEnded(end);
 		this.context.metrics().attemptEnded(end.name());
-		if (this.progress.mayTryAgain()) {
+		if (this.progress.mayRetry()) {
 			enqueue();
 		}
 		else {
@@ -332,7 +332,7 @@
 	 * @return whether a repeat is safe, within the limits, and possible now
 	 */
 	boolean mayReplaceAttempt() {
-		return this.request.route().isIdempotent() && this.progress.mayTryAgain()
+		return this.request.route().isIdempotent() && this.progress.mayRetry()
 				&& this.pool.allowance().mayRetry(System.nanoTime())
 				&& this.pool.balancer().choose(placement(), System.nanoTime()).isPresent();
 	}
@@ -352,7 +352,7 @@
 	 * @param id its id, if it has one
 	 */
 	void eventForwarded(OptionalLong id) {
-		this.progress.passedOn();
+		this.progress.responseForwarded();
 		this.telemetry.eventForwarded(System.nanoTime());
 		if (id.isPresent()) {
 			this.lastEventId = id;
@@ -366,7 +366,7 @@
 	void respond(BufferedResponse buffered) {
 		if (close()) {
 			responseStarted();
-			this.response.answer(buffered.status(), buffered.headers(), buffered.body());
+			this.response.send(buffered.status(), buffered.headers(), buffered.body());
 			this.telemetry.responseComplete(this.progress);
 		}
 	}
@@ -385,7 +385,7 @@
 			if (close()) {
 				this.telemetry.failed(ResultCode.ENDPOINT_ERROR, "error response of the endpoint forwarded",
 						this.progress, Duration.ZERO);
-				this.response.answer(kept.status(), kept.headers(), kept.body());
+				this.response.send(kept.status(), kept.headers(), kept.body());
 			}
 			return;
 		}
@@ -424,7 +424,7 @@
 		HttpHeaders headers = new DefaultHttpHeaders();
 		headers.set(HttpHeaderNames.CONTENT_TYPE, "application/json");
 		refusal.retryAfter().ifPresent((delay) -> dialect.writeRetryAfter(delay, headers));
-		response.answer(refusal.code().httpStatus(), headers, refusal.bytes());
+		response.send(refusal.code().httpStatus(), headers, refusal.bytes());
 	}
 
 	private void callerGone() {
--- a/daemon/src/main/java/org/acaciacourse/daemon/route/RoutedRequest.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/route/RoutedRequest.java
@@ -28,17 +28,17 @@
  * @param idHash a hash of the request's id
  */
 record RoutedRequest(String method, String requestTarget, HttpHeaders headers, byte[] body, boolean hasBody,
-		RequestDialect.RequestFacts metadata, Route route, Optional<KeyOwner> owner, int urgency,
+		RequestDialect.RequestMetadata metadata, Route route, Optional<KeyOwner> owner, int urgency,
 		OptionalInt deferredUrgency, long idHash) {
 
 	private static final LongHashFunction HASH = LongHashFunction.xx3();
 
-	static RoutedRequest of(CallerRequest request, RequestDialect dialect, RequestDialect.RequestFacts metadata,
+	static RoutedRequest of(CallerRequest request, RequestDialect dialect, RequestDialect.RequestMetadata metadata,
 			Route route, Optional<KeyOwner> owner, int urgency, OptionalInt deferredUrgency) {
 		HttpHeaders headers = HopByHopHeaders.endToEnd(request.headers());
 		boolean hasBody = request.headers().contains("content-length")
 				|| request.headers().contains("transfer-encoding");
-		dialect.clean(headers);
+		dialect.removeReservedHeaders(headers);
 		long hash = HASH.hashBytes(metadata.id().getBytes(StandardCharsets.UTF_8));
 		return new RoutedRequest(request.method(), request.target(), headers, request.body(), hasBody, metadata, route,
 				owner, urgency, deferredUrgency, hash);
--- a/daemon/src/main/java/org/acaciacourse/daemon/store/LogReplay.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/store/LogReplay.java
@@ -121,17 +121,17 @@
 	 * @param snapshot the latest snapshot, if there is one
 	 * @return the recovered state
 	 */
-	Recovered finish(Optional<Snapshot> snapshot) {
+	RecoveredState finish(Optional<Snapshot> snapshot) {
 		long index = snapshot.map(Snapshot::index).orElse(0L);
 		long term = snapshot.map(Snapshot::term).orElse(0L);
 		if (this.requiredSnapshotIndex > index) {
 			throw damaged("snapshot", "missing, the log needs one up to entry " + this.requiredSnapshotIndex);
 		}
 		if (index > lastIndex() || termAt(index) != term) {
-			return new Recovered(this.hardState, snapshot, List.of());
+			return new RecoveredState(this.hardState, snapshot, List.of());
 		}
 		List<LogEntry> remaining = this.entries.subList((int) (index - this.previousIndex), this.entries.size());
-		return new Recovered(this.hardState, snapshot, remaining);
+		return new RecoveredState(this.hardState, snapshot, remaining);
 	}
 
 	private long termAt(long index) {
--- a/daemon/src/main/java/org/acaciacourse/daemon/store/Recovered.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/store/RecoveredState.java
@@ -16,9 +16,9 @@
  * @param snapshot the latest snapshot, if there is one
  * @param entries the entries after the snapshot, without gaps
  */
-public record Recovered(HardState hardState, Optional<Snapshot> snapshot, List<LogEntry> entries) {
+public record RecoveredState(HardState hardState, Optional<Snapshot> snapshot, List<LogEntry> entries) {
 
-	public Recovered {
+	public RecoveredState {
 		entries = List.copyOf(entries);
 	}
 
--- a/daemon/src/main/java/org/acaciacourse/daemon/store/ReplicaStore.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/store/ReplicaStore.java
@@ -60,7 +60,7 @@
 
 	private ReplicaId identity;
 
-	private Recovered recovered;
+	private RecoveredState recovered;
 
 	private HardState hardState;
 
@@ -195,7 +195,7 @@
 	 * Return what the folder held when it was opened.
 	 * @return hard state, snapshot and entries
 	 */
-	public Recovered recovered() {
+	public RecoveredState recovered() {
 		return this.recovered;
 	}
 
@@ -291,21 +291,21 @@
 	 * @param state the hard state to write with it
 	 * @param first the entry
 	 */
-	public void found(HardState state, LogEntry first) {
+	public void bootstrap(HardState state, LogEntry first) {
 		if (!this.recovered.isFresh()) {
 			throw new IllegalStateException("the data folder already holds a log");
 		}
 		put(state);
 		put(List.of(first));
 		sync();
-		this.recovered = new Recovered(state, Optional.empty(), List.of(first));
+		this.recovered = new RecoveredState(state, Optional.empty(), List.of(first));
 	}
 
 	/**
 	 * Release the state read at opening, once the replica has taken it over.
 	 */
-	public void forgetRecovered() {
-		this.recovered = new Recovered(this.hardState, Optional.empty(), List.of());
+	public void releaseRecovered() {
+		this.recovered = new RecoveredState(this.hardState, Optional.empty(), List.of());
 	}
 
 	private void writeSnapshot(Snapshot snapshot) throws IOException {
--- a/daemon/src/main/java/org/acaciacourse/daemon/telemetry/EntryMetrics.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/telemetry/EntryMetrics.java
@@ -116,7 +116,7 @@
 	 * Record that a newer configuration is active.
 	 * @param number its number
 	 */
-	public void configuration(long number) {
+	public void configurationActivated(long number) {
 		this.configurationNumber.set(number);
 	}
 
@@ -126,7 +126,7 @@
 	}
 
 	/** Record that a response was discarded because it carried another attempt's id. */
-	public void answerDiscarded() {
+	public void responseDiscarded() {
 		this.discardedResponses.inc();
 	}
 
@@ -135,7 +135,7 @@
 	 * @param code the reason
 	 * @param requestClass the name of its class, empty if it is not known yet
 	 */
-	public void refused(ResultCode code, String requestClass) {
+	public void requestRefused(ResultCode code, String requestClass) {
 		this.refusals.labelValues(Integer.toString(code.number()), requestClass).inc();
 	}
 
@@ -146,7 +146,7 @@
 	 * @param epoch the number of the manifest that activated the policy
 	 * @return the meter that counts the further events of the request
 	 */
-	public RequestMeter meter(String requestClass, String policy, long epoch) {
+	public RequestMeter requestArrived(String requestClass, String policy, long epoch) {
 		RequestMeter meter = new RequestMeter(requestClass, policy, epoch);
 		this.arrived.labelValues(requestClass, policy).inc();
 		this.queued.labelValues(requestClass).inc();
@@ -183,7 +183,7 @@
 		 * Record that an attempt has started: a hedge if another one is running,
 		 * otherwise a retry unless it is the first.
 		 */
-		public void attemptBegins() {
+		public void attemptStarted() {
 			if (this.running > 0) {
 				EntryMetrics.this.hedges.labelValues(this.requestClass, this.policy).inc();
 				this.tally.hedgeStarted();
@@ -200,7 +200,7 @@
 		}
 
 		/** Record that an attempt has ended. */
-		public void attemptEnds() {
+		public void attemptEnded() {
 			this.running--;
 			if (this.running == 0 && !this.ended) {
 				move(EntryMetrics.this.inFlight, EntryMetrics.this.queued);
@@ -216,7 +216,7 @@
 		 * Record that the first token was forwarded.
 		 * @param time the time since arrival
 		 */
-		public void firstToken(Duration time) {
+		public void firstTokenForwarded(Duration time) {
 			EntryMetrics.this.firstTokenSeconds.labelValues(this.requestClass).observe(time.toNanos() / 1e9);
 		}
 
@@ -226,7 +226,7 @@
 		 * @param targetMet whether the target of the class was met
 		 * @param tokens the number of tokens in the response
 		 */
-		public void answered(Duration time, boolean targetMet, long tokens) {
+		public void responseCompleted(Duration time, boolean targetMet, long tokens) {
 			end();
 			EntryMetrics.this.answered.labelValues(this.requestClass, this.policy).inc();
 			EntryMetrics.this.delivered.labelValues(this.requestClass, this.policy).inc(tokens);
@@ -243,9 +243,9 @@
 		 * attempt was started, otherwise as failed.
 		 * @param code the reason
 		 */
-		public void failed(ResultCode code) {
+		public void requestFailed(ResultCode code) {
 			end();
-			EntryMetrics.this.refused(code, this.requestClass);
+			EntryMetrics.this.requestRefused(code, this.requestClass);
 			if (this.attempts == 0) {
 				this.tally.requestRefused();
 			}
@@ -258,7 +258,7 @@
 		 * Record tokens that were received and discarded.
 		 * @param tokens the number of tokens
 		 */
-		public void wasted(long tokens) {
+		public void tokensWasted(long tokens) {
 			if (tokens > 0) {
 				EntryMetrics.this.wasted.labelValues(this.requestClass, this.policy).inc(tokens);
 				this.tally.tokensWasted(tokens);
--- a/daemon/src/main/java/org/acaciacourse/daemon/telemetry/Traces.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/telemetry/Traces.java
@@ -92,7 +92,7 @@
 	 * @param traceparent the trace context received with it, empty for none
 	 * @return the span, which the calling code must end
 	 */
-	public Span incoming(String name, String traceparent) {
+	public Span startServerSpan(String name, String traceparent) {
 		Context parent = PROPAGATOR.extract(Context.root(), traceparent, SingleHeader.INSTANCE);
 		return this.tracer.spanBuilder(name).setParent(parent).setSpanKind(SpanKind.SERVER).startSpan();
 	}
@@ -103,7 +103,7 @@
 	 * @param parent the parent span
 	 * @return the span, which the calling code must end
 	 */
-	public Span child(String name, Span parent) {
+	public Span startChildSpan(String name, Span parent) {
 		return this.tracer.spanBuilder(name).setParent(Context.root().with(parent)).startSpan();
 	}
 
--- a/daemon/src/test/java/org/acaciacourse/daemon/codec/CodecTests.java
+++ b/daemon/src/test/java/org/acaciacourse/daemon/codec/CodecTests.java
@@ -127,9 +127,9 @@
 			byte[] bytes = StateCodec.encode(state.snapshot());
 			ControlState restored = ControlState.restore(StateCodec.decode(bytes).get());
 			assertThat(StateCodec.encode(restored.snapshot())).isEqualTo(bytes);
-			assertThat(restored.digest()).isEqualTo(put(1).digest());
-			assertThat(restored.claim(new ClaimKey("kumasi", "case-7")).flatMap((claim) -> claim.answer()))
-				.isEqualTo(Optional.of(restored.claim(new ClaimKey("kumasi", "case-7")).get().answer().get()));
+			assertThat(restored.manifestDigest()).isEqualTo(put(1).digest());
+			assertThat(restored.claim(new ClaimKey("kumasi", "case-7")).flatMap((claim) -> claim.response()))
+				.isEqualTo(Optional.of(restored.claim(new ClaimKey("kumasi", "case-7")).get().response().get()));
 			assertThat(restored.statistics()).isEqualTo(state.statistics());
 		}
 
--- a/daemon/src/test/java/org/acaciacourse/daemon/control/FoundingTests.java
+++ b/daemon/src/test/java/org/acaciacourse/daemon/control/BootstrapTests.java
@@ -12,7 +12,7 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
-class FoundingTests {
+class BootstrapTests {
 
 	private static final List<String> INITIAL = List.of("127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3");
 
--- a/daemon/src/test/java/org/acaciacourse/daemon/control/ControlCluster.java
+++ b/daemon/src/test/java/org/acaciacourse/daemon/control/ControlCluster.java
@@ -16,9 +16,9 @@
 
 import org.acaciacourse.core.code.ResultCode;
 import org.acaciacourse.core.consensus.ReplicaTiming;
-import org.acaciacourse.daemon.inner.InnerConnection;
+import org.acaciacourse.daemon.inner.InternalConnection;
 import org.acaciacourse.daemon.inner.SharedKey;
-import org.acaciacourse.daemon.link.LeaderCaller;
+import org.acaciacourse.daemon.link.LeaderClient;
 import org.acaciacourse.daemon.link.LinkOptions;
 import org.acaciacourse.protocol.generated.ApplyReply;
 import org.acaciacourse.protocol.generated.ApplyRequest;
@@ -167,13 +167,13 @@
 
 	public ApplyReply apply(Map<String, Map<String, String>> sections) throws InterruptedException {
 		ApplyRequest request = new ApplyRequest(OPERATOR.text(), "pipeline", sections, new TraceContext(""));
-		try (LeaderCaller caller = new LeaderCaller(this.addresses)) {
+		try (LeaderClient caller = new LeaderClient(this.addresses)) {
 			return caller.call((c) -> c.apply(request), ApplyReply::getResult, Duration.ofSeconds(30)).orElseThrow();
 		}
 	}
 
 	StatusReply status(int i) throws TException {
-		try (InnerConnection connection = InnerConnection.open(this.addresses.get(i), Duration.ofSeconds(10))) {
+		try (InternalConnection connection = InternalConnection.open(this.addresses.get(i), Duration.ofSeconds(10))) {
 			return connection.control().status(OPERATOR.text());
 		}
 	}
--- a/daemon/src/test/java/org/acaciacourse/daemon/control/EntryViewTests.java
+++ b/daemon/src/test/java/org/acaciacourse/daemon/control/EntryViewTests.java
@@ -145,7 +145,7 @@
 		}
 
 		@Override
-		public void manifest(Manifest manifest) {
+		public void manifestChanged(Manifest manifest) {
 		}
 
 		@Override
@@ -153,16 +153,16 @@
 		}
 
 		@Override
-		public void endpointStatus(String endpoint, EndpointStatus status) {
+		public void endpointStatusChanged(String endpoint, EndpointStatus status) {
 			this.last = status;
 		}
 
 		@Override
-		public void crash(long contentHash, int crashes) {
+		public void crashReported(long contentHash, int crashes) {
 		}
 
 		@Override
-		public void entryCount(int count) {
+		public void entryCountChanged(int count) {
 		}
 
 	}
--- a/daemon/src/test/java/org/acaciacourse/daemon/control/FleetKeeperTests.java
+++ b/daemon/src/test/java/org/acaciacourse/daemon/control/FleetKeeperTests.java
@@ -9,7 +9,7 @@
 
 import org.acaciacourse.core.route.Fleet;
 import org.acaciacourse.core.route.FleetEndpoint;
-import org.acaciacourse.daemon.inner.InnerConnection;
+import org.acaciacourse.daemon.inner.InternalConnection;
 import org.acaciacourse.protocol.generated.PollReply;
 import org.acaciacourse.protocol.generated.PollRequest;
 import org.apache.thrift.TException;
@@ -60,7 +60,7 @@
 
 	private PollReply poll(int i, long revision) {
 		String address = this.cluster.link("entry").controls().get(i);
-		try (InnerConnection connection = InnerConnection.open(address, Duration.ofSeconds(10))) {
+		try (InternalConnection connection = InternalConnection.open(address, Duration.ofSeconds(10))) {
 			PollRequest request = new PollRequest("entry", "run", "dc", 0, "", 0, 0, List.of(), false, false, revision,
 					"");
 			return connection.control().poll(this.cluster.link("entry").key().text(), request);
--- a/daemon/src/test/java/org/acaciacourse/daemon/control/ReplicaLoopTests.java
+++ b/daemon/src/test/java/org/acaciacourse/daemon/control/ReplicaLoopTests.java
@@ -37,7 +37,7 @@
 		ReplicaStore store = this.disk.openStore();
 		if (store.recovered().isFresh()) {
 			Membership self = new Membership(List.of(new Member(store.identity(), "control-1", "", true)));
-			store.found(new HardState(1, Optional.of(store.identity())),
+			store.bootstrap(new HardState(1, Optional.of(store.identity())),
 					new LogEntry(1, 1, LogEntry.Kind.MEMBERSHIP, MembershipCodec.encode(self)));
 		}
 		ReplicaDriver driver = new ReplicaDriver(store, "control-1", ReplicaTiming.defaults(), 100, new NoPeers(),
--- a/daemon/src/test/java/org/acaciacourse/daemon/endpoint/EndpointCallTests.java
+++ b/daemon/src/test/java/org/acaciacourse/daemon/endpoint/EndpointCallTests.java
@@ -88,7 +88,7 @@
 				refused = ex;
 			}
 			assertThat(refused).isNotNull();
-			assertThat(EndpointCallTests.this.call.maySent()).isFalse();
+			assertThat(EndpointCallTests.this.call.mayHaveBeenSent()).isFalse();
 		}
 
 		@Test
@@ -151,19 +151,19 @@
 	private static final class NoOpListener implements EndpointCall.Listener {
 
 		@Override
-		public void paused() {
+		public void readingPaused() {
 		}
 
 		@Override
-		public void head(EndpointCall from, EndpointCall.Head head) {
+		public void headReceived(EndpointCall from, EndpointCall.Head head) {
 		}
 
 		@Override
-		public void readable(EndpointCall from) {
+		public void chunksAvailable(EndpointCall from) {
 		}
 
 		@Override
-		public void ended(EndpointCall from, boolean whole) {
+		public void callEnded(EndpointCall from, boolean whole) {
 		}
 
 	}
--- a/daemon/src/test/java/org/acaciacourse/daemon/entry/FakeLink.java
+++ b/daemon/src/test/java/org/acaciacourse/daemon/entry/FakeLink.java
@@ -61,7 +61,7 @@
 	public void start(Listener follower, Supplier<List<ClassReport>> results) {
 		this.listener = follower;
 		this.reports = results;
-		follower.manifest(this.manifest);
+		follower.manifestChanged(this.manifest);
 		follower.upToDate();
 	}
 
@@ -70,7 +70,7 @@
 	}
 
 	@Override
-	public void leaving() {
+	public void announceLeaving() {
 	}
 
 	@Override
--- a/daemon/src/test/java/org/acaciacourse/daemon/entry/LeastLoadedDispatcher.java
+++ b/daemon/src/test/java/org/acaciacourse/daemon/entry/LeastLoadedDispatcher.java
@@ -51,7 +51,7 @@
 
 	@Override
 	public void endpointStatus(String endpoint, EndpointStatus status, long now) {
-		if (!status.acceptsWork()) {
+		if (!status.acceptsRequests()) {
 			this.leaving.add(endpoint);
 		}
 	}
@@ -65,7 +65,7 @@
 	}
 
 	@Override
-	public void arrive(RequestInfo request, long now) {
+	public void requestArrived(RequestInfo request, long now) {
 		this.openRequests.put(request.id(), new OpenRequest(request));
 		this.actions.wakeAt(request.deadlineNanos());
 		dispatch(this.openRequests.get(request.id()));
@@ -75,7 +75,7 @@
 		Optional<Endpoint> chosen = this.manifest.endpoints()
 			.values()
 			.stream()
-			.filter((endpoint) -> endpoint.set().equals(request.info.endpointSet()))
+			.filter((endpoint) -> endpoint.endpointSet().equals(request.info.endpointSet()))
 			.filter((endpoint) -> !this.leaving.contains(endpoint.name()))
 			.min((a, b) -> Long.compare(load(a), load(b)));
 		if (chosen.isEmpty()) {
@@ -110,7 +110,7 @@
 	}
 
 	@Override
-	public void tokens(long attemptId, int count, long now) {
+	public void tokensReceived(long attemptId, int count, long now) {
 		OpenRequest request = this.openRequests.get(this.requestOfAttempt.get(attemptId));
 		if (request != null) {
 			request.tokens += count;
@@ -118,7 +118,7 @@
 	}
 
 	@Override
-	public void ended(long attemptId, AttemptOutcome outcome, long now) {
+	public void attemptEnded(long attemptId, AttemptOutcome outcome, long now) {
 		Long requestId = this.requestOfAttempt.remove(attemptId);
 		this.endpointOfAttempt.remove(attemptId);
 		OpenRequest request = this.openRequests.get(requestId);
@@ -143,7 +143,7 @@
 	}
 
 	@Override
-	public void suspect(long contentHash, int crashes, long now) {
+	public void suspectReported(long contentHash, int crashes, long now) {
 	}
 
 	@Override
--- a/daemon/src/test/java/org/acaciacourse/daemon/http/HttpFrontTests.java
+++ b/daemon/src/test/java/org/acaciacourse/daemon/http/NettyHttpServerTests.java
@@ -19,7 +19,7 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
-class HttpFrontTests {
+class NettyHttpServerTests {
 
 	private static final HttpLimits LIMITS = new HttpLimits(1_000, 10, Duration.ofSeconds(20), 1_000,
 			Duration.ofSeconds(20));
@@ -31,8 +31,8 @@
 	void requestSentBeforeTheServerStartsIsServed() throws Exception {
 		EventLoopGroup loops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
 		InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-		ServerSocketChannel listening = HttpFront.open(any);
-		HttpFront server = new HttpFront(any, () -> LIMITS, loops, new OkHandler());
+		ServerSocketChannel listening = NettyHttpServer.open(any);
+		NettyHttpServer server = new NettyHttpServer(any, () -> LIMITS, loops, new OkHandler());
 		try (Socket caller = new Socket()) {
 			caller.connect(listening.getLocalAddress());
 			caller.getOutputStream()
@@ -55,7 +55,7 @@
 
 		@Override
 		public void handle(CallerRequest request, CallerResponse response) {
-			response.answer(200, Map.of(), new byte[0]);
+			response.send(200, Map.of(), new byte[0]);
 		}
 
 		@Override
--- a/daemon/src/test/java/org/acaciacourse/daemon/link/ConfigurationFollowerTests.java
+++ b/daemon/src/test/java/org/acaciacourse/daemon/link/ConfigurationFollowerTests.java
@@ -134,7 +134,7 @@
 	private final class RecordingListener implements ControlLink.Listener {
 
 		@Override
-		public void manifest(Manifest manifest) {
+		public void manifestChanged(Manifest manifest) {
 			ConfigurationFollowerTests.this.events.add(manifest.number());
 		}
 
@@ -143,16 +143,16 @@
 		}
 
 		@Override
-		public void endpointStatus(String endpoint, EndpointStatus status) {
+		public void endpointStatusChanged(String endpoint, EndpointStatus status) {
 		}
 
 		@Override
-		public void crash(long contentHash, int crashes) {
+		public void crashReported(long contentHash, int crashes) {
 			ConfigurationFollowerTests.this.events.add(contentHash + " " + crashes);
 		}
 
 		@Override
-		public void entryCount(int count) {
+		public void entryCountChanged(int count) {
 			ConfigurationFollowerTests.this.events.add(count + " entries");
 		}
 
--- a/daemon/src/test/java/org/acaciacourse/daemon/link/ThriftControlLinkTests.java
+++ b/daemon/src/test/java/org/acaciacourse/daemon/link/ThriftControlLinkTests.java
@@ -101,7 +101,7 @@
 				assertThat(complete(first, ClaimOutcome.ANSWERED)).isEqualTo(ResultCode.OK);
 				ClaimResult answered = claim(second, "hash");
 				assertThat(answered.granted()).isFalse();
-				assertThat(answered.answer().orElseThrow()).isEqualTo(new byte[] { 42 });
+				assertThat(answered.response().orElseThrow()).isEqualTo(new byte[] { 42 });
 			}
 		}
 
@@ -156,7 +156,7 @@
 		}
 
 		@Override
-		public void manifest(Manifest manifest) {
+		public void manifestChanged(Manifest manifest) {
 			this.numbers.add(manifest.number());
 		}
 
@@ -166,15 +166,15 @@
 		}
 
 		@Override
-		public void endpointStatus(String endpoint, EndpointStatus status) {
+		public void endpointStatusChanged(String endpoint, EndpointStatus status) {
 		}
 
 		@Override
-		public void crash(long contentHash, int crashes) {
+		public void crashReported(long contentHash, int crashes) {
 		}
 
 		@Override
-		public void entryCount(int count) {
+		public void entryCountChanged(int count) {
 			this.entryCounts.add(count);
 		}
 
--- a/daemon/src/test/java/org/acaciacourse/daemon/order/OrderDutyTests.java
+++ b/daemon/src/test/java/org/acaciacourse/daemon/order/OrderWriterLoopTests.java
@@ -33,7 +33,7 @@
 /**
  * Tests for {@link OrderWriterLoop}.
  */
-class OrderDutyTests {
+class OrderWriterLoopTests {
 
 	private static final OrderTiming TIMING = new OrderTiming(Duration.ofMillis(100).toNanos(),
 			Duration.ofMillis(100).toNanos(), 0);
@@ -100,12 +100,12 @@
 		@Test
 		void engineIsBroughtToTheDesiredState() throws Exception {
 			try (OrderWriterLoop loop = startLoop()) {
-				Set<String> seen = Set.of(OrderDutyTests.this.orders.poll(30, TimeUnit.SECONDS),
-						OrderDutyTests.this.orders.poll(30, TimeUnit.SECONDS));
+				Set<String> seen = Set.of(OrderWriterLoopTests.this.orders.poll(30, TimeUnit.SECONDS),
+						OrderWriterLoopTests.this.orders.poll(30, TimeUnit.SECONDS));
 				assertThat(seen).containsExactly("{\"fencing\":7,\"order\":\"unload\",\"subject\":\"old\"}",
 						"{\"fencing\":7,\"order\":\"load\",\"subject\":\"new\"}");
 			}
-			assertThat(OrderDutyTests.this.lease.released).isEqualTo(7);
+			assertThat(OrderWriterLoopTests.this.lease.released).isEqualTo(7);
 		}
 
 	}
@@ -120,12 +120,12 @@
 		@Test
 		void orderIsNotSentAfterTheLeaseIsLost() {
 			try (EngineOrderClient client = new EngineOrderClient()) {
-				String base = "http://127.0.0.1:" + OrderDutyTests.this.engine.getAddress().getPort();
+				String base = "http://127.0.0.1:" + OrderWriterLoopTests.this.engine.getAddress().getPort();
 				EngineOrder order = new EngineOrder("e", 7, EngineOrder.Kind.LOAD, "new");
 				CompletableFuture<Boolean> sent = client.send(base, order, Duration.ofSeconds(20), () -> false)
 					.toCompletableFuture();
 				assertThat(sent.handle((done, failure) -> failure).orTimeout(30, TimeUnit.SECONDS).join()).isNotNull();
-				assertThat(OrderDutyTests.this.orders).isEmpty();
+				assertThat(OrderWriterLoopTests.this.orders).isEmpty();
 			}
 		}
 
--- a/daemon/src/test/java/org/acaciacourse/daemon/route/LoadGossipTests.java
+++ b/daemon/src/test/java/org/acaciacourse/daemon/route/LoadGossipTests.java
@@ -17,13 +17,13 @@
 import org.acaciacourse.core.balance.PlacedRequest;
 import org.acaciacourse.core.balance.Placement;
 import org.acaciacourse.core.balance.PromptShape;
+import org.acaciacourse.core.balance.QueuePosition;
 import org.acaciacourse.core.balance.RoutingMechanism;
 import org.acaciacourse.core.balance.RoutingPolicy;
-import org.acaciacourse.core.balance.Turn;
 import org.acaciacourse.core.route.Fleet;
 import org.acaciacourse.core.route.FleetEndpoint;
 import org.acaciacourse.daemon.codec.ThriftBytes;
-import org.acaciacourse.daemon.inner.InnerConnection;
+import org.acaciacourse.daemon.inner.InternalConnection;
 import org.acaciacourse.protocol.generated.EndpointLoadRecord;
 import org.acaciacourse.protocol.generated.LoadDigestRecord;
 import org.acaciacourse.protocol.generated.PartUseRecord;
@@ -47,7 +47,7 @@
 	}
 
 	private PoolStates pools() throws Exception {
-		PoolStates pools = new PoolStates(this.loop, new RetryRule(Duration.ofSeconds(10), 0.2, 10),
+		PoolStates pools = new PoolStates(this.loop, new RetryBudgetOptions(Duration.ofSeconds(10), 0.2, 10),
 				(instance) -> true);
 		onLoop(() -> {
 			pools.fleet(FLEET);
@@ -73,11 +73,11 @@
 	}
 
 	private static LoadPeer peer(LoadGossip gossip) {
-		return new LoadPeer(InnerConnection.format(gossip.boundAddress()), "dc");
+		return new LoadPeer(InternalConnection.format(gossip.boundAddress()), "dc");
 	}
 
 	private void awaitDigest(PoolStates pools) throws Exception {
-		while (!onLoop(pools.peers()::isTold)) {
+		while (!onLoop(pools.peers()::hasReports)) {
 			LockSupport.parkNanos(1_000_000);
 		}
 	}
@@ -85,7 +85,7 @@
 	private static PlacedRequest begin(PoolStates pools, String instance, PromptShape shape) {
 		return pools.state("pool")
 			.balancer()
-			.begin(instance, new Placement(shape, true, false, 0, Set.of()), Turn.AFTER_OTHERS, 0);
+			.begin(instance, new Placement(shape, true, false, 0, Set.of()), QueuePosition.BEHIND_OTHERS, 0);
 	}
 
 	// An entry VM whose policy disables load digests ignores those of its peers. With the
@@ -110,7 +110,7 @@
 		// has arrived is read within the next two iterations of the event loop.
 		onLoop(() -> null);
 		onLoop(() -> null);
-		assertThat(onLoop(second.peers()::isTold)).isFalse();
+		assertThat(onLoop(second.peers()::hasReports)).isFalse();
 		onLoop(() -> {
 			second.policy(RoutingPolicy.DEFAULT);
 			return null;
--- a/daemon/src/test/java/org/acaciacourse/daemon/route/EventFramesTests.java
+++ b/daemon/src/test/java/org/acaciacourse/daemon/route/ServerSentEventParserTests.java
@@ -11,7 +11,7 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
-class EventFramesTests {
+class ServerSentEventParserTests {
 
 	private static final String STREAM = "id: 1\ndata: a\n\nid:2\r\ndata: b\r\n\r\ndata: c\n\nid: 9x\ndata: d\n\n";
 
--- a/daemon/src/test/java/org/acaciacourse/daemon/store/ReplicaStoreTests.java
+++ b/daemon/src/test/java/org/acaciacourse/daemon/store/ReplicaStoreTests.java
@@ -316,11 +316,11 @@
 		void firstEntryIsDurableAndWrittenOnce() {
 			ReplicaStore store = ReplicaStore.open(this.disk, 200);
 			HardState state = new HardState(1, Optional.of(store.identity()));
-			store.found(state, entry(1, 1));
+			store.bootstrap(state, entry(1, 1));
 			ReplicaStore again = reopen();
 			assertThat(again.recovered().isFresh()).isFalse();
 			assertThat(again.recovered().hardState()).isEqualTo(state);
-			assertThat(Try.run(() -> again.found(state, entry(1, 1))).isFailure()).isTrue();
+			assertThat(Try.run(() -> again.bootstrap(state, entry(1, 1))).isFailure()).isTrue();
 			append(again, 2, 3, 1);
 			assertThat(indexes(reopen())).containsExactly(1L, 2L, 3L).inOrder();
 		}
--- a/engine/src/main/java/org/acaciacourse/engine/LocalSystem.java
+++ b/engine/src/main/java/org/acaciacourse/engine/LocalSystem.java
@@ -19,7 +19,7 @@
 import org.acaciacourse.daemon.control.ControlDaemon;
 import org.acaciacourse.daemon.control.ControlOptions;
 import org.acaciacourse.daemon.entry.EntryDaemon;
-import org.acaciacourse.daemon.link.LeaderCaller;
+import org.acaciacourse.daemon.link.LeaderClient;
 import org.acaciacourse.daemon.link.LinkOptions;
 import org.acaciacourse.daemon.link.ThriftControlLink;
 import org.acaciacourse.protocol.generated.ApplyReply;
@@ -107,7 +107,7 @@
 		ManifestDocument document = ManifestParser.document(manifest()).get();
 		ApplyRequest request = new ApplyRequest(OPERATOR_KEY, "local", ManifestCodec.encode(document),
 				new TraceContext(""));
-		try (LeaderCaller caller = new LeaderCaller(controlAddressList())) {
+		try (LeaderClient caller = new LeaderClient(controlAddressList())) {
 			int code = caller.call((control) -> control.apply(request), ApplyReply::getResult, READY_LIMIT)
 				.map((reply) -> reply.getResult().getCode())
 				.orElse(ResultCode.CONTROL_UNREACHABLE.number());
