--- a/core/src/main/java/org/acaciacourse/core/attempt/RequestProgress.java
+++ b/core/src/main/java/org/acaciacourse/core/attempt/RequestProgress.java
@@ -26,7 +26,7 @@
 
 	private int sentAttempts;
 
-	/** Attempts that endpoints ran or may run, without those that they refused. */
+	/** Attempts that endpoints ran or may run, excluding those that they refused. */
 	private int attemptsThatMayHaveRun;
 
 	/** Whether an attempt that may run is in progress. */
@@ -63,7 +63,7 @@
 	}
 
 	/**
-	 * Record that a part of the response was forwarded to the client.
+	 * Record that a part of the response was forwarded to the caller.
 	 */
 	public void responseForwarded() {
 		this.responseForwarded = true;
@@ -121,7 +121,7 @@
 	}
 
 	/**
-	 * Return the result code of a request that is not retried any more.
+	 * Return the result code of a request that is no longer retried.
 	 * @param timedOut whether the request timed out
 	 * @return the code, whose status means "not run" only if that is certain
 	 */
--- a/core/src/main/java/org/acaciacourse/core/balance/BriefEngines.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/BriefEngines.java
@@ -11,7 +11,7 @@
  * tightest latency target of the pool. The reserved engines are the first staying ones in
  * the order of a hash of their instance, so that all entry VMs select the same ones.
  * Their number follows the brief requests that run at all entry VMs. Each reserved engine
- * is missing for long prompts, and one too few makes all brief answers late, so that no
+ * is missing for long prompts, and one too few makes all brief responses late, so that no
  * fixed share suits more than one mix of requests.
  * <p>
  * On a day with bursts of both kinds, a fixed quarter (two of six engines) kept 48% of
--- a/core/src/main/java/org/acaciacourse/core/balance/EndpointLoad.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/EndpointLoad.java
@@ -40,7 +40,7 @@
 	private static final double FAILURE_DECAY_SECONDS = 3;
 
 	/**
-	 * An engine sends an event for each running answer every few batch steps. A step
+	 * An engine sends an event for each running response every few batch steps. A step
 	 * takes 35 ms with a full batch and a concurrent prefill.
 	 */
 	private static final long SUSPECT_AFTER_NANOS = 400_000_000L;
@@ -147,7 +147,7 @@
 		return this.briefInFlight + this.peers.brief(this.id);
 	}
 
-	// An answer started to stream. From now on an event is expected every few batch
+	// A response started to stream. From now on an event is expected every few batch
 	// steps.
 	void streamBegan() {
 		this.streams++;
--- a/core/src/main/java/org/acaciacourse/core/balance/IdleLimit.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/IdleLimit.java
@@ -2,7 +2,7 @@
 
 /**
  * The time for which an idle connection to the endpoints of one pool may be reused.
- * Endpoints do not always keep the time-out that they announce: one that silently drops
+ * Endpoints do not always keep the timeout that they announce: one that silently drops
  * idle connections sooner resets the next request on them. A request that must not run
  * twice is lost then, as it may have run. The limit is learned for the whole pool: with
  * many endpoints and few requests to each, learning it for each endpoint would lose a
@@ -26,7 +26,7 @@
 
 	/**
 	 * The limit as a fraction of the idle time after which a connection was lost. If idle
-	 * times are uniformly distributed, one that was too long is twice the time-out on
+	 * times are uniformly distributed, one that was too long is twice the timeout on
 	 * average.
 	 */
 	private static final double LIMIT_FRACTION = 0.5;
@@ -39,7 +39,7 @@
 
 	/**
 	 * Losses within this time are assumed to have the same cause. With an endpoint that
-	 * loses a few percent of its answers, the next loss comes much later.
+	 * loses a few percent of its responses, the next loss comes much later.
 	 */
 	private static final long CORRELATION_NANOS = 3_000_000_000L;
 
@@ -54,7 +54,7 @@
 	private long candidateAt = NEVER;
 
 	/**
-	 * Record a request on a reused connection that was lost without any answer.
+	 * Record a request on a reused connection that was lost without any response.
 	 * @param idle how long the connection had been idle before
 	 * @param elapsed the time from the request to the loss
 	 * @param now the time
--- a/core/src/main/java/org/acaciacourse/core/balance/Outcome.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/Outcome.java
@@ -7,7 +7,7 @@
  */
 public enum Outcome {
 
-	/** The endpoint answered. */
+	/** The endpoint responded. */
 	GOOD {
 		@Override
 		void apply(EndpointLoad load, long now) {
@@ -15,7 +15,7 @@
 		}
 	},
 
-	/** The endpoint answered with a failure of its own. */
+	/** The endpoint responded with a failure of its own. */
 	FAILED {
 		@Override
 		void apply(EndpointLoad load, long now) {
--- a/core/src/main/java/org/acaciacourse/core/balance/PeerLoads.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/PeerLoads.java
@@ -12,8 +12,8 @@
 /**
  * The load that the other entry VMs cause at the endpoints, from the digests that they
  * exchange several times a second. Endpoints report their load late and only with
- * answers. Without the digests each VM sees only a part of the load, and all VMs may send
- * long prompts to the same endpoint at the same moment.
+ * responses. Without the digests each VM sees only a part of the load, and all VMs may
+ * send long prompts to the same endpoint at the same moment.
  * <p>
  * With many VMs a relay sends a view of the load of all of them. While there is a view,
  * the digests are ignored.
--- a/core/src/main/java/org/acaciacourse/core/balance/PlacedRequest.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/PlacedRequest.java
@@ -84,7 +84,7 @@
 	}
 
 	/**
-	 * Record the first event of the answer, which shows that the prompt is prefilled.
+	 * Record the first event of the response, which shows that the prompt is prefilled.
 	 * Later events have no effect.
 	 * @param elapsed nanoseconds since the request was sent
 	 */
@@ -114,7 +114,7 @@
 	}
 
 	/**
-	 * Return whether an event of the answer arrived.
+	 * Return whether an event of the response arrived.
 	 * @return whether the prompt is prefilled
 	 */
 	public boolean isStreaming() {
@@ -122,7 +122,7 @@
 	}
 
 	/**
-	 * Record the end of the request, with an answer or without one.
+	 * Record the end of the request, with a response or without one.
 	 * @param outcome what the end shows of the endpoint
 	 * @param now the time
 	 */
@@ -165,7 +165,8 @@
 	 *
 	 * @param running the number of requests there
 	 * @param waitingWork the prefill work of those whose prompt is not prefilled yet
-	 * @param failureRate the share of answers that fail, weighted towards the latest ones
+	 * @param failureRate the share of responses that fail, weighted towards the latest
+	 * ones
 	 */
 	public record Estimate(int running, long waitingWork, double failureRate) {
 	}
--- a/core/src/main/java/org/acaciacourse/core/balance/PlacementCost.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/PlacementCost.java
@@ -63,7 +63,8 @@
 	}
 
 	/**
-	 * Return the cost of the load and the health of an endpoint, and of the work there.
+	 * Return the part of the cost that results from the load and the failures of an
+	 * endpoint and from the work on the prompt there.
 	 * @param load the endpoint
 	 * @param request the request
 	 * @param cached the tokens of the prompt that the endpoint has in its cache
@@ -77,10 +78,10 @@
 				+ failureCost(load, now) + tieBreak(load, request.salt());
 	}
 
-	// Prefilling a shared part for the first time can't be avoided; away from its home it
-	// is prefilled once more. Any prefill delays all requests that wait there: when all
-	// queues are long, prefilling parts in many places makes them even longer, until
-	// engines do little else.
+	// Prefilling a shared part for the first time can't be avoided, but at an endpoint
+	// other than its home it is prefilled once more. Any prefill delays all requests that
+	// wait there: when all queues are long, prefilling parts in many places makes them
+	// even longer, until engines do little else.
 	private double prefillCost(PromptShape shape, long cached, HomeRole role, long ahead) {
 		double requestsDelayed = ahead / TYPICAL_PROMPT_WORK;
 		return (recomputeFactor(role) + requestsDelayed) * shape.work(cached);
@@ -94,8 +95,8 @@
 		};
 	}
 
-	// An endpoint with few slots is full with few requests: there a running request costs
-	// as much as a waiting one divided by the number of slots.
+	// An endpoint with few slots is full after few requests, so a running request costs
+	// at least the cost of a waiting one divided by the number of slots.
 	private double runningCost(EndpointLoad load, long now) {
 		double slots = load.endpoint().slots();
 		int inFlight = load.running(now);
@@ -121,7 +122,7 @@
 	 * Return the cost of placing another request on an engine that is reserved for brief
 	 * ones.
 	 * @param work the work on the prompt
-	 * @param harmless the work that makes no brief answer late
+	 * @param harmless the largest work that makes no brief response late
 	 * @return the cost
 	 */
 	double reservedEngineCost(long work, long harmless) {
@@ -129,10 +130,10 @@
 	}
 
 	/**
-	 * Return the cost of the delay that a prompt causes to running brief answers.
-	 * @param brief the number of brief answers
+	 * Return the cost of the delay that a prompt causes to running brief responses.
+	 * @param brief the number of brief responses
 	 * @param work the work on the prompt
-	 * @param harmless the work that makes no brief answer late
+	 * @param harmless the largest work that makes no brief response late
 	 * @return the cost
 	 */
 	double briefDelayCost(int brief, long work, long harmless) {
@@ -147,8 +148,8 @@
 		return this.connectionCost;
 	}
 
-	// Less than one token. Without it, VMs that know nothing of each other's requests
-	// would all choose the first of equal endpoints.
+	// Returns a cost of less than one token. Without it, VMs that know nothing of each
+	// other's requests would all choose the first of equal endpoints.
 	private static double tieBreak(EndpointLoad load, long salt) {
 		long mixed = HASH.hashLong(salt ^ load.hash());
 		return (mixed >>> 11) * 0x1.0p-53;
--- a/core/src/main/java/org/acaciacourse/core/balance/PoolBalancer.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/PoolBalancer.java
@@ -231,8 +231,8 @@
 		return this.briefEngines.isDivided() && request.shape().promptTokens() > 0;
 	}
 
-	// An engine prefills prompts between the tokens of all its running answers: a long
-	// prompt delays the events of each brief answer beyond their target gap.
+	// An engine prefills prompts between the tokens of all its running responses: a long
+	// prompt delays the events of each brief response beyond their target gap.
 	private double mixingCost(EndpointLoad load, Placement request, long cached) {
 		boolean forBrief = this.briefEngines.contains(load);
 		if (request.brief()) {
--- a/core/src/main/java/org/acaciacourse/core/balance/PromptShape.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/PromptShape.java
@@ -8,7 +8,7 @@
  * Immutable and thread safe.
  *
  * @param promptTokens the tokens of the prompt, 0 if unknown
- * @param outputTokens the maximum number of tokens of the answer, 0 if unknown
+ * @param outputTokens the maximum number of tokens of the response, 0 if unknown
  * @param parts the parts of the prompt in order; the last one is the request's own
  */
 public record PromptShape(long promptTokens, long outputTokens, List<Part> parts) {
--- a/core/src/main/java/org/acaciacourse/core/balance/RoutingMechanism.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/RoutingMechanism.java
@@ -36,7 +36,7 @@
 	/** Prefilling a part again that others have cached costs a multiple of its work. */
 	PRICE_OF_READING_ANEW("price-of-reading-anew"),
 
-	/** Endpoints whose answers fail are avoided. */
+	/** Endpoints whose responses fail are avoided. */
 	PRICE_OF_FAILURES("price-of-failures"),
 
 	/** Among equal endpoints, one with an idle connection is preferred. */
@@ -45,7 +45,7 @@
 	/** An endpoint that was lost or full gets no requests for a while. */
 	PAUSES("pauses"),
 
-	/** An endpoint whose answers all stalled is avoided. */
+	/** An endpoint whose responses all stalled is avoided. */
 	SUSPECTS("suspects"),
 
 	/** An attempt from which nothing arrives is replaced by one at another endpoint. */
@@ -63,7 +63,9 @@
 	/** Short prompts of other requests may use the engines for brief requests. */
 	SHORT_BESIDE_BRIEF("short-beside-brief", BRIEF_ENGINES),
 
-	/** A prompt that makes running brief answers late incurs a cost for each of them. */
+	/**
+	 * A prompt that makes running brief responses late incurs a cost for each of them.
+	 */
 	PRICE_OF_LATE_ANSWERS("price-of-late-answers", BRIEF_ENGINES),
 
 	/** Customers of equal priority are ranked by the priority of their routes. */
--- a/core/src/main/java/org/acaciacourse/core/balance/RoutingParameter.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/RoutingParameter.java
@@ -70,7 +70,7 @@
 	/**
 	 * The cost of placing a long prompt on an engine for brief requests: more than the
 	 * work that ever waits at its own engines while any of them is alive, as each such
-	 * prompt delays some ten brief answers of higher value.
+	 * prompt delays some ten brief responses of higher value.
 	 */
 	LONG_ELSEWHERE_COST("long-elsewhere-cost", "tokens", 500_000, 0, 100_000_000),
 
@@ -82,14 +82,14 @@
 	SHORT_ELSEWHERE_COST("short-elsewhere-cost", "tokens", 10_000, 0, 10_000_000),
 
 	/**
-	 * The cost of each brief answer that a prompt makes late: half a second of work,
+	 * The cost of each brief response that a prompt makes late: half a second of work,
 	 * which is about how late the prompt itself is elsewhere in a burst.
 	 */
 	LATE_ANSWER_COST("late-answer-cost", "tokens", 30_000, 0, 10_000_000),
 
 	/**
-	 * The cost of each running brief answer that a prompt delays without making it late,
-	 * as a fraction of the work on that prompt.
+	 * The cost of each running brief response that a prompt delays without making it
+	 * late, as a fraction of the work on that prompt.
 	 */
 	BESIDE_FACTOR("beside-factor", "times", 0.5, 0, 100),
 
--- a/core/src/main/java/org/acaciacourse/core/balance/RoutingPolicy.java
+++ b/core/src/main/java/org/acaciacourse/core/balance/RoutingPolicy.java
@@ -21,7 +21,7 @@
  */
 public record RoutingPolicy(String name, Set<RoutingMechanism> off, Map<RoutingParameter, Double> values) {
 
-	/** All mechanisms are on and all parameters have their measured defaults. */
+	/** All mechanisms are on and all parameters have their default values. */
 	public static final RoutingPolicy DEFAULT = new RoutingPolicy("default", Set.of(), Map.of());
 
 	public RoutingPolicy {
--- a/core/src/main/java/org/acaciacourse/core/code/ResultCode.java
+++ b/core/src/main/java/org/acaciacourse/core/code/ResultCode.java
@@ -71,7 +71,7 @@
 	/** The content crashed endpoints twice and is refused everywhere. */
 	CRASHING_CONTENT(210, 422, 65, false, "this content crashed endpoints and is refused"),
 
-	/** The endpoint answered with an error. */
+	/** The endpoint responded with an error. */
 	ENDPOINT_ERROR(300, 502, 69, true, "the endpoint answered with an error"),
 
 	/** The connection to the endpoint broke before the end of the response. */
@@ -155,7 +155,7 @@
 	/** The lease is held by another VM. */
 	LEASE_HELD(605, 409, 75, true, "the lease is held elsewhere"),
 
-	/** The caller's lease or fencing number is out of date. */
+	/** The lease or fencing number of the requesting VM is out of date. */
 	FENCED(606, 409, 73, false, "the fencing number is out of date"),
 
 	/** Address could not be bound. */
--- a/core/src/main/java/org/acaciacourse/core/delivery/ResponseTokenSequence.java
+++ b/core/src/main/java/org/acaciacourse/core/delivery/ResponseTokenSequence.java
@@ -1,9 +1,9 @@
 package org.acaciacourse.core.delivery;
 
 /**
- * Decides which tokens of a response are forwarded, so that the client receives each
+ * Decides which tokens of a response are forwarded, so that the caller receives each
  * token exactly once and in order, whichever attempt it comes from. When an attempt is
- * resumed or repeated, the tokens that the client already has are skipped; tokens after a
+ * resumed or repeated, the tokens that the caller already has are skipped; tokens after a
  * gap are rejected.
  * <p>
  * Only the number of tokens is stored, so that the memory does not depend on the length
@@ -61,7 +61,7 @@
 	}
 
 	/**
-	 * Return the number of tokens that were forwarded to the client.
+	 * Return the number of tokens that were forwarded to the caller.
 	 * @return the number of tokens, which is the index at which a resumed attempt
 	 * continues
 	 */
@@ -82,10 +82,10 @@
 	 */
 	public enum Verdict {
 
-		/** Forward it to the client. */
+		/** Forward it to the caller. */
 		FORWARD,
 
-		/** Skip it: the client already has it. */
+		/** Skip it: the caller already has it. */
 		SKIP,
 
 		/** Tokens before it are missing: the attempt cannot be used. */
--- a/core/src/main/java/org/acaciacourse/core/delivery/RunStateTracker.java
+++ b/core/src/main/java/org/acaciacourse/core/delivery/RunStateTracker.java
@@ -8,7 +8,7 @@
 /**
  * Tracks over all attempts of a request whether the request was run.
  * <p>
- * A client that receives "not run" may repeat the request, so that state is reported only
+ * A caller that receives "not run" may repeat the request, so that state is reported only
  * if no attempt can have run: each attempt either wrote no byte to a connection or was
  * refused by the endpoint under the id of that attempt. In all other cases the state is
  * "unknown" or "run". The state of an attempt only moves towards "run", except for a
@@ -72,7 +72,7 @@
 
 	/**
 	 * Return the state of the request over all its attempts.
-	 * @return the state to report to the client
+	 * @return the state to report to the caller
 	 */
 	public RunState state() {
 		return this.attempts.values().stream().map(Stage::state).reduce(RunState.NOT_RUN, RunState::combine);
--- a/core/src/main/java/org/acaciacourse/core/dispatch/AttemptOutcome.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/AttemptOutcome.java
@@ -7,7 +7,7 @@
  */
 public enum AttemptOutcome {
 
-	/** The complete answer was received. */
+	/** The complete response was received. */
 	COMPLETE(false),
 
 	/** The connection could not be opened; no byte was sent. */
@@ -17,12 +17,12 @@
 	REFUSED(true),
 
 	/**
-	 * The endpoint answered with an error caused by the request itself; a retry would
+	 * The endpoint responded with an error caused by the request itself; a retry would
 	 * fail too.
 	 */
 	REJECTED(false),
 
-	/** The connection broke before the answer was complete. */
+	/** The connection broke before the response was complete. */
 	LOST(true),
 
 	/** The endpoint made no progress within the time limit. */
--- a/core/src/main/java/org/acaciacourse/core/dispatch/DispatchActions.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/DispatchActions.java
@@ -26,7 +26,7 @@
 	void cancel(long attemptId);
 
 	/**
-	 * Send the caller its final answer: the request is refused or has failed.
+	 * Send the caller its final response: the request is refused or has failed.
 	 * @param requestId the id of the request
 	 * @param code the reason
 	 * @param retryAfter when to retry, empty if a retry is pointless
@@ -64,7 +64,7 @@
 	 * @param endpoint the name of the endpoint
 	 * @param enginePriority the priority passed to the engine; a smaller number runs
 	 * first
-	 * @param resumeFrom the number of answer tokens that the caller already has; the
+	 * @param resumeFrom the number of response tokens that the caller already has; the
 	 * attempt continues after them
 	 * @param policy the name of the policy that decided
 	 */
--- a/core/src/main/java/org/acaciacourse/core/dispatch/DispatchState.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/DispatchState.java
@@ -19,8 +19,8 @@
  * State shared by the parts of a dispatcher: requests, attempts, endpoints and the
  * manifest in force.
  * <p>
- * Invariants: a request is registered under its id until its final answer and no longer;
- * each registered request is in {@link #dueRequests}.
+ * Invariants: a request is registered under its id until its final response and no
+ * longer; each registered request is in {@link #dueRequests}.
  * <p>
  * Not thread safe: owned by one dispatcher.
  */
@@ -90,7 +90,7 @@
 		this.dueRequests.add(pending);
 	}
 
-	// Removes a request that has its final answer.
+	// Removes a request that has its final response.
 	void close(PendingRequest pending) {
 		pending.state = PendingRequest.State.DONE;
 		this.requests.remove(pending.info.id());
@@ -98,7 +98,7 @@
 		pending.limit.release();
 	}
 
-	// Sends a request its final answer, whether it waits or runs.
+	// Sends a request its final response, whether it waits or runs.
 	void finish(PendingRequest pending, ResultCode code, long waitNanos) {
 		if (pending.isDone()) {
 			return;
--- a/core/src/main/java/org/acaciacourse/core/dispatch/Dispatcher.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/Dispatcher.java
@@ -72,7 +72,8 @@
 	void callerGone(long requestId, long now);
 
 	/**
-	 * Handle received answer tokens; the first call for an attempt marks its first token.
+	 * Handle received response tokens; the first call for an attempt marks its first
+	 * token.
 	 * @param attemptId the id of the attempt
 	 * @param count the number of tokens received
 	 * @param now the time
--- a/core/src/main/java/org/acaciacourse/core/dispatch/EndpointSetState.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/EndpointSetState.java
@@ -148,7 +148,7 @@
 	// Returns the minimum service time to use for refusals, which is 0 while an endpoint
 	// is idle. Times observed under load or during a fault say little about an idle
 	// endpoint, and refused requests yield no new samples: a fault that delayed all
-	// answers would otherwise cause every later request to be refused, permanently. A
+	// responses would otherwise cause every later request to be refused, permanently. A
 	// request sent to an idle endpoint acts as a probe that corrects the estimate.
 	long minServiceTime(PendingRequest pending, PolicySettings settings, int entryCount, long now) {
 		return (hasIdleEndpoint(settings, entryCount, now)) ? 0 : minServiceTime(pending);
--- a/core/src/main/java/org/acaciacourse/core/dispatch/OutcomeHandler.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/OutcomeHandler.java
@@ -6,7 +6,7 @@
 import org.acaciacourse.core.dispatch.suspect.SuspectTable;
 
 /**
- * Decides what follows the end of an attempt: the final answer, a retry at another
+ * Decides what follows the end of an attempt: the final response, a retry at another
  * endpoint, or requeueing after a preemption.
  * <p>
  * Invariants: a request that may not be repeated is retried only if no byte of it reached
@@ -76,7 +76,7 @@
 
 	// Clears the suspicion once an isolated attempt has produced SURVIVAL_TOKENS tokens
 	// and so passed the point at which the endpoint crashed. The next suspect then need
-	// not wait for the end of a long answer. If the same request crashes an endpoint
+	// not wait for the end of a long response. If the same request crashes an endpoint
 	// again, its content is still blocked.
 	void clearIfSurvived(ActiveAttempt attempt, long now) {
 		if (attempt.isolated && attempt.tokens >= SURVIVAL_TOKENS && attempt.pending.isolated) {
@@ -137,7 +137,7 @@
 			this.state.finish(pending, finalCode(pending, outcome), 0);
 		}
 		else if (!notRun && pending.endpointSet.endpoints.size() == 1) {
-			// There is no other endpoint: answer the caller now rather than at its
+			// There is no other endpoint: respond to the caller now rather than at its
 			// deadline.
 			this.state.finish(pending, ResultCode.RETRIES_EXHAUSTED, BACKOFF_NANOS << MAX_BACKOFF_SHIFT);
 		}
--- a/core/src/main/java/org/acaciacourse/core/dispatch/PendingRequest.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/PendingRequest.java
@@ -8,10 +8,11 @@
 import org.acaciacourse.core.model.RequestClass;
 
 /**
- * A request between its arrival and its final answer.
+ * A request between its arrival and its final response.
  * <p>
  * Invariants: at most one attempt is current; {@link #state} becomes {@link State#DONE}
- * with the final answer and never changes again, so that there is only one final answer.
+ * with the final response and never changes again, so that there is only one final
+ * response.
  * <p>
  * Not thread safe: owned by one dispatcher.
  */
@@ -104,7 +105,7 @@
 		/** At an endpoint. */
 		RUNNING,
 
-		/** Has its final answer. */
+		/** Has its final response. */
 		DONE
 
 	}
--- a/core/src/main/java/org/acaciacourse/core/dispatch/PolicyDispatcher.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/PolicyDispatcher.java
@@ -20,8 +20,8 @@
  * steps are separate classes: {@link Admission}, {@link PolicyQueue},
  * {@link EndpointSelector}, {@link Scheduler} and {@link OutcomeHandler}.
  * <p>
- * Invariants: each request gets exactly one final answer; a policy change applies to all
- * waiting requests at once and does not affect running ones.
+ * Invariants: each request gets exactly one final response; a policy change applies to
+ * all waiting requests at once and does not affect running ones.
  * <p>
  * Not thread safe: all methods are called by one thread.
  */
@@ -324,7 +324,7 @@
 	}
 
 	/**
-	 * Return the number of requests without a final answer.
+	 * Return the number of requests without a final response.
 	 * @return the number of waiting and running requests
 	 */
 	public int openRequestCount() {
--- a/core/src/main/java/org/acaciacourse/core/dispatch/PolicyQueue.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/PolicyQueue.java
@@ -11,8 +11,8 @@
 /**
  * The waiting requests of one policy at one endpoint set. There is a lane for each tier,
  * and for each lane a list of requests that were dispatched before or that only some
- * endpoints may serve. The list is served first, because answers in it are already partly
- * delivered; a request in it that only some endpoints may serve does not block the
+ * endpoints may serve. The list is served first, because responses in it are already
+ * partly delivered; a request in it that only some endpoints may serve does not block the
  * others.
  * <p>
  * Invariant: a waiting request is in exactly one lane or list.
--- a/core/src/main/java/org/acaciacourse/core/dispatch/Scheduler.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/Scheduler.java
@@ -19,7 +19,7 @@
  */
 final class Scheduler {
 
-	/** The number of requeued requests examined in one step of a lane. */
+	/** The maximum number of requeued requests examined in one step of a lane. */
 	private static final int MAX_REQUEUED_SCANNED = 32;
 
 	private static final double MAX_OVERCOMMIT_WAIT_SHARE = 0.25;
@@ -149,8 +149,8 @@
 	}
 
 	// Cancels a lower-tier attempt of this VM and returns its endpoint. The victim is of
-	// the lowest tier, and within it the attempt with the fewest delivered tokens, which
-	// loses the least.
+	// the lowest tier, and within it the attempt with the fewest delivered tokens, so
+	// that the least work is lost.
 	private EndpointView preempt(PendingRequest pending, long now) {
 		EndpointView endpoint = this.selector.selectPreemptible(pending,
 				(candidate) -> findVictim(candidate, pending) != null, now);
@@ -187,7 +187,7 @@
 	}
 
 	// Returns an isolation endpoint for a suspect request, one suspect at a time and only
-	// if nothing else runs there. After a time-out it may run beside requests of other
+	// if nothing else runs there. After a timeout it may run beside requests of other
 	// VMs, which are retried if it crashes the endpoint.
 	private EndpointView findIsolationEndpoint(PendingRequest pending, long now) {
 		EndpointSetState set = pending.endpointSet;
@@ -211,7 +211,8 @@
 	// Cancels lower-tier attempts that an engine has preempted for requests of other VMs
 	// and does not resume, so that they continue at another endpoint (migration between
 	// engines as in Llumnix, Sun et al. 2024). Otherwise they would stay behind each new
-	// high request there until their deadline, while other engines serve their peers.
+	// high-tier request there until their deadline, while other engines run requests of
+	// the same tier.
 	void moveStalledAttempts(EndpointSetState set, long now) {
 		if (!set.canResume()) {
 			return;
--- a/core/src/main/java/org/acaciacourse/core/dispatch/learn/DecayingHistogram.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/learn/DecayingHistogram.java
@@ -5,18 +5,18 @@
 /**
  * A histogram of a positive quantity with exponential decay. The bounds of its buckets
  * grow by a fixed factor. A quantile costs one pass over the buckets and is accurate to
- * that factor, which is enough for estimates of answers whose lengths differ by a factor
- * of a hundred.
+ * that factor, which is enough for estimates of responses whose lengths differ by a
+ * factor of a hundred.
  * <p>
  * Invariants: memory is fixed; until {@link #MIN_SAMPLES} values were recorded,
- * {@link #hasEnoughSamples} is false and callers use a broader histogram or a default
- * value.
+ * {@link #hasEnoughSamples} is false and a broader histogram or a default value is to be
+ * used.
  * <p>
  * Not thread safe: owned by one dispatcher.
  */
 public final class DecayingHistogram {
 
-	/** The number of values from which the histogram is usable. */
+	/** The number of values that must be recorded before the histogram is used. */
 	public static final int MIN_SAMPLES = 8;
 
 	private static final int BUCKETS = 64;
--- a/core/src/main/java/org/acaciacourse/core/dispatch/learn/MovingAverage.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/learn/MovingAverage.java
@@ -1,7 +1,7 @@
 package org.acaciacourse.core.dispatch.learn;
 
 /**
- * An exponential moving average per sample, initialized by the first value.
+ * An exponential moving average that is updated with each value and starts at the first.
  * <p>
  * Not thread safe: owned by one dispatcher.
  */
--- a/core/src/main/java/org/acaciacourse/core/dispatch/learn/package-info.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/learn/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Statistics learned from the traffic: answer lengths and latencies.
+ * Statistics learned from the traffic: response lengths and latencies.
  */
 package org.acaciacourse.core.dispatch.learn;
--- a/core/src/main/java/org/acaciacourse/core/dispatch/queue/FairQueue.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/queue/FairQueue.java
@@ -16,9 +16,10 @@
  * the number of flows.
  * <p>
  * Invariants: a flow is in {@link #order} if and only if it has items; the start tag of a
- * flow that becomes active is not behind the virtual time. Idle flows that carry no debt
- * are removed, so that memory is bounded by the number of items and of recently served
- * flows.
+ * flow that becomes active is not behind the virtual time. A flow that becomes idle is
+ * removed if its start tag is not ahead of the virtual time or there are more than
+ * {@link #MAX_IDLE_FLOWS} flows, so that memory is bounded by the number of items and by
+ * that limit.
  * <p>
  * Not thread safe: owned by one dispatcher.
  *
--- a/core/src/main/java/org/acaciacourse/core/dispatch/suspect/SuspectTable.java
+++ b/core/src/main/java/org/acaciacourse/core/dispatch/suspect/SuspectTable.java
@@ -8,7 +8,7 @@
  * Content that was running on endpoints that crashed, by the hash of customer and
  * content. A single crash makes everything that ran there suspect, because the cause
  * cannot be determined. A suspect is then run in isolation: a crash there proves that it
- * was the cause, and from the second crash on the content is refused. A complete answer
+ * was the cause, and from the second crash on the content is refused. A complete response
  * clears the suspicion.
  * <p>
  * Invariants: an entry has one or two crashes; there are at most {@link #MAX_ENTRIES}
@@ -29,8 +29,8 @@
 	public static final long RETENTION_NANOS = 3_600_000_000_000L;
 
 	/**
-	 * The time within which the reports of all VMs arrive through the control plane, from
-	 * the return of this VM's own report.
+	 * The time after the return of this VM's own report within which the reports of all
+	 * VMs have arrived through the control plane.
 	 */
 	static final long REPORT_PROPAGATION_NANOS = 1_000_000_000L;
 
--- a/core/src/main/java/org/acaciacourse/core/manifest/ManifestParser.java
+++ b/core/src/main/java/org/acaciacourse/core/manifest/ManifestParser.java
@@ -295,7 +295,7 @@
 
 		// An unchanged section becomes invalid when a section that it refers to is
 		// removed. In that case all sections are validated again. No section refers to
-		// the other kinds.
+		// a section of another kind.
 		private boolean referencesRemainValidIn(ManifestDocument next) {
 			return containsAll(this.manifest.policies().keySet(), "policy ", next)
 					&& containsAll(this.manifest.endpointSets().keySet(), "endpoint-set ", next)
--- a/core/src/main/java/org/acaciacourse/core/measure/RetryBudgetChecker.java
+++ b/core/src/main/java/org/acaciacourse/core/measure/RetryBudgetChecker.java
@@ -7,9 +7,9 @@
 
 /**
  * Checks the requests and retries of a whole system, as seen by an observer, against a
- * retry budget in every window. The requests that count are those of the window itself,
- * of the one before it, or of the one that starts half a window earlier, whichever has
- * the most.
+ * retry budget in every window that starts with a retry. The requests that count are
+ * those of the window itself, of the one before it, or of the one that starts half a
+ * window earlier, whichever has the most.
  * <p>
  * Not thread safe.
  */
--- a/core/src/main/java/org/acaciacourse/core/measure/WilsonInterval.java
+++ b/core/src/main/java/org/acaciacourse/core/measure/WilsonInterval.java
@@ -3,7 +3,7 @@
 /**
  * The 95% confidence interval of a proportion by the score method (Wilson 1927). Unlike
  * the normal approximation it stays within 0 and 1 and remains valid for few samples and
- * for proportions near 1, which is where attainment lies.
+ * for proportions near 1, as the attainment of targets usually is.
  * <p>
  * Immutable and thread safe.
  *
--- a/core/src/main/java/org/acaciacourse/core/route/RouteTable.java
+++ b/core/src/main/java/org/acaciacourse/core/route/RouteTable.java
@@ -39,7 +39,8 @@
 		routes.forEach((route) -> this.byHost.computeIfAbsent(route.host(), (host) -> new HashMap<>())
 			.put(route.pathPrefix(), route));
 		pools.forEach((pool) -> this.pools.put(pool.name(), pool));
-		// A customer without keys had all of them revoked; its requests still need a key.
+		// A customer without keys is counted: all its keys were revoked, and requests
+		// still need a key.
 		this.hasCustomers = !owners.isEmpty();
 		owners.forEach((owner) -> owner.keys().forEach((key) -> this.owners.put(key, owner)));
 		this.urgencyScale = new UrgencyScale(routes, owners);
@@ -125,8 +126,8 @@
 	 * Return the rank of a request that will miss its target in any case.
 	 * @param route its route, one of this table
 	 * @param owner its customer, one of this table, if there is any
-	 * @return the rank, empty if no rank is left for such requests or a route of its
-	 * pools is less urgent
+	 * @return the rank, empty if no rank is left for such requests or if another route to
+	 * one of its pools is less urgent
 	 */
 	public OptionalInt deferredUrgency(Route route, Optional<KeyOwner> owner) {
 		return this.urgencyScale.deferredRank(route, owner);
--- a/core/src/main/java/org/acaciacourse/core/state/ClaimKey.java
+++ b/core/src/main/java/org/acaciacourse/core/state/ClaimKey.java
@@ -8,7 +8,7 @@
  * Immutable and thread safe.
  *
  * @param customer the name of the customer
- * @param idempotencyKey the idempotency key that the client sent
+ * @param idempotencyKey the idempotency key that the caller sent
  */
 public record ClaimKey(String customer, String idempotencyKey) {
 
