--- a/daemon/src/main/java/org/acaciacourse/daemon/control/FleetKeeper.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/control/FleetKeeper.java
@@ -16,9 +16,10 @@
 
 /**
  * Keeps the current fleet on a control VM. Only the leader reads the platform's list, as
- * calls for it are limited and priced; the other control VMs fetch changes from the
- * leader by long polls. A control VM that gets no reply from a leader reads the list
- * itself, so that entry VMs learn of leaving endpoints even while there is no leader.
+ * requests for it are rate-limited and charged for; the other control VMs fetch changes
+ * from the leader by long polls. A control VM that gets no reply from a leader reads the
+ * list itself, so that entry VMs learn of leaving endpoints even while there is no
+ * leader.
  * <p>
  * Thread safe.
  */
--- a/daemon/src/main/java/org/acaciacourse/daemon/control/PeerSender.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/control/PeerSender.java
@@ -15,7 +15,7 @@
 
 /**
  * Sends messages to one address, with a thread and a bounded queue. The peer responds to
- * each call, so a dead connection is detected by a time-out and replaced. The messages in
+ * each call, so a dead connection is detected by a timeout and replaced. The messages in
  * flight are then lost, which the replication protocol tolerates; for the same reason a
  * full queue drops new messages.
  * <p>
--- a/daemon/src/main/java/org/acaciacourse/daemon/endpoint/EndpointCall.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/endpoint/EndpointCall.java
@@ -187,7 +187,7 @@
 		// Reading is paused and resumed on the event loop of the connection only. It was
 		// paused above the limit, so that the crossing of half the limit always follows
 		// and can't be missed. With a flag shared by both sides, a pause that overtook
-		// the preceding resume left the connection unread for ever.
+		// the preceding resume would leave the connection unread for ever.
 		if (waiting < MAX_PENDING_BYTES / 2 && waiting + size >= MAX_PENDING_BYTES / 2) {
 			ReadGate.resume(this.channel, () -> this.pendingBytes.get() <= MAX_PENDING_BYTES);
 		}
--- a/daemon/src/main/java/org/acaciacourse/daemon/inner/InternalConnection.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/inner/InternalConnection.java
@@ -33,9 +33,9 @@
 
 	/**
 	 * Several round trips between data centres, which take tens of milliseconds each. A
-	 * running host accepts within one. If the host is not up yet or packets are lost, TCP
-	 * retransmits only after a second; a client that waited for that would neither try
-	 * another VM nor reach this one as soon as it is up.
+	 * running host accepts within one round trip. If the host is not up yet or packets
+	 * are lost, TCP retransmits only after a second; a client that waited for that would
+	 * neither try another VM nor reach this one as soon as it is up.
 	 */
 	private static final int CONNECT_TIMEOUT_MILLIS = 200;
 
@@ -54,7 +54,7 @@
 
 	/**
 	 * Open a connection.
-	 * @param address the IP number and port
+	 * @param address the IP address and port
 	 * @param timeout the timeout for the response to a call
 	 * @return the connection
 	 * @throws TTransportException if the connection cannot be established
@@ -70,7 +70,7 @@
 
 	/**
 	 * Parse an address.
-	 * @param address the IP number and port
+	 * @param address the IP address and port
 	 * @return the address
 	 */
 	public static InetSocketAddress parse(String address) {
@@ -90,7 +90,7 @@
 	/**
 	 * Format an address.
 	 * @param address the address
-	 * @return the IP number and port
+	 * @return the IP address and port
 	 */
 	public static String format(InetSocketAddress address) {
 		String host = address.getAddress().getHostAddress();
--- a/daemon/src/main/java/org/acaciacourse/daemon/link/LinkOptions.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/link/LinkOptions.java
@@ -43,7 +43,7 @@
 
 	/**
 	 * Read the options from settings.
-	 * @param settings checked settings with the sections vm, inner and entry
+	 * @param settings validated settings with the sections vm, inner and entry
 	 * @return the options
 	 */
 	public static LinkOptions of(Settings settings) {
--- a/daemon/src/main/java/org/acaciacourse/daemon/order/EngineOrderClient.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/order/EngineOrderClient.java
@@ -61,8 +61,8 @@
 	 * Send an order.
 	 * @param base the base address
 	 * @param order the order
-	 * @param timeout after which the connection is closed, so that the engine cannot
-	 * receive the rest of the order any more
+	 * @param timeout after which the connection is closed, so that the engine can no
+	 * longer receive the rest of the order
 	 * @param maySend checked right before the first byte is sent
 	 * @return whether the order was carried out, as opposed to refused because of its
 	 * fencing number; fails if the outcome is unknown
--- a/daemon/src/main/java/org/acaciacourse/daemon/order/OrderWriterLoop.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/order/OrderWriterLoop.java
@@ -80,7 +80,7 @@
 	 * @param vm the name of the VM
 	 * @param calls acquires and releases the lease
 	 * @param manifests supplies the current manifest
-	 * @param timing the intervals and time-outs of the writer
+	 * @param timing the intervals and timeouts of the writer
 	 */
 	public OrderWriterLoop(String vm, LeaseCalls calls, Supplier<Optional<Manifest>> manifests, OrderTiming timing) {
 		this.holder = vm + "/" + UUID.randomUUID();
--- a/daemon/src/main/java/org/acaciacourse/daemon/route/Attempt.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/route/Attempt.java
@@ -37,14 +37,14 @@
 	private static final int MAX_BODY_BYTES = 32 * 1024 * 1024;
 
 	/**
-	 * A service that has not responded within twice its target is slow or lost; its
-	 * slowest calls take less.
+	 * A service that has not responded within twice its target is slow or lost: even its
+	 * slowest calls take less time.
 	 */
 	private static final int SILENCE_TARGET_FACTOR = 2;
 
 	/**
-	 * Engines read about 60 prompt tokens per millisecond, and half of that with a full
-	 * batch.
+	 * Engines prefill about 60 prompt tokens per millisecond, and half as many with a
+	 * full batch.
 	 */
 	private static final long PROMPT_TOKENS_PER_MILLI = 30;
 
@@ -99,7 +99,7 @@
 		endpointConnection.send(httpRequest, this);
 	}
 
-	/** Cancel the attempt and close its connection, which the endpoint sees. */
+	/** Cancel the attempt and close its connection, so that the endpoint notices. */
 	void cancel() {
 		if (!this.done) {
 			finish(Outcome.UNKNOWN);
@@ -349,8 +349,8 @@
 		long millis = Math.round(policy().value(RoutingParameter.ENGINE_SILENCE));
 		if (!this.placed.isStreaming()) {
 			// With many entry VMs, each one receives little data from an engine that is
-			// busy with the prompts of the others. The time to read the waiting prompts
-			// must not count as silence.
+			// busy with the prompts of the others. The time to prefill the waiting
+			// prompts must not count as silence.
 			millis += this.placed.waitingWork() / PROMPT_TOKENS_PER_MILLI;
 		}
 		return TimeUnit.MILLISECONDS.toNanos(millis);
--- a/daemon/src/main/java/org/acaciacourse/daemon/telemetry/LogEvent.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/telemetry/LogEvent.java
@@ -22,7 +22,7 @@
 	/**
 	 * A response was complete, but missed its target or had too long a gap between
 	 * events: the times it waited at the entry VM, until it was sent and until the
-	 * endpoint answered, its longest gap, and how many late responses since the previous
+	 * endpoint responded, its longest gap, and how many late responses since the previous
 	 * line were not logged.
 	 */
 	REQUEST_LATE("request-late", "request", "route", "pool", "urgency", "table", "endpoint", "waited_ms", "sent_ms",
@@ -73,7 +73,7 @@
 	 */
 	DIVISION("division", "pool", "engines", "brief_running", "waiting_work"),
 
-	/** No control VM reports the fleet any more. */
+	/** No control VM reports the fleet any longer. */
 	CONTROL_LOST("control-lost", "silent_ms"),
 
 	/** A control VM reports the fleet again. */
--- a/daemon/src/main/java/org/acaciacourse/daemon/telemetry/LogQueue.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/telemetry/LogQueue.java
@@ -26,8 +26,8 @@
 public final class LogQueue {
 
 	/**
-	 * With lines of a few hundred bytes, a quarter of a megabyte and some seconds of a
-	 * usual load.
+	 * Holds the lines of some seconds under a usual load. With lines of a few hundred
+	 * bytes, this takes a quarter of a megabyte.
 	 */
 	private static final int CAPACITY = 1024;
 
--- a/daemon/src/main/java/org/acaciacourse/daemon/telemetry/QueuedLog.java
+++ b/daemon/src/main/java/org/acaciacourse/daemon/telemetry/QueuedLog.java
@@ -17,7 +17,7 @@
  * The log of a process that must start quickly: loggers that put their lines into a
  * {@link LogQueue}, and a thread that starts some time later to write them as JSON to
  * standard output. Log4j Core and its configuration are not initialized at all: after a
- * power failure all VMs would pay for that at the same time, while callers wait.
+ * power failure all VMs would spend that time simultaneously, while callers wait.
  * <p>
  * Thread safe.
  */
